--- a/src/main/java/ivybank/client/RequestReader.java
+++ b/src/main/java/ivybank/client/RequestReader.java
@@ -153,10 +153,10 @@
         if (message instanceof HttpContent content) {
             ByteBuf part = content.content();
             bodyBytes += part.readableBytes();
-            if (bodyBytes > Framing.MAX_BODY) {
+            if (bodyBytes > Framing.MAX_BODY_BYTES) {
                 return HttpStatus.TOO_LARGE;
             }
-            if (rest == null && bodyBytes > Framing.MOST_WHOLE) {
+            if (rest == null && bodyBytes > Framing.MAX_BUFFERED_BODY_BYTES) {
                 rest = new BodyPipe(source);
                 ctx.fireChannelRead(new Read(head, body.toByteArray(), 0, rest));
                 body = null;
@@ -175,7 +175,7 @@
     private int begin(ChannelHandlerContext ctx, HttpRequest next) {
         head = next;
         body = new ByteArrayOutputStream(0);
-        if (!Framing.isClear(next)) {
+        if (!Framing.isUnambiguous(next)) {
             return HttpStatus.BAD_REQUEST;
         }
         if (Framing.isTooLong(next)) {
--- a/src/main/java/ivybank/common/Framing.java
+++ b/src/main/java/ivybank/common/Framing.java
@@ -11,14 +11,14 @@
 public final class Framing {
 
     /** What is handled whole, and can be sent again; a longer body is passed on in pieces. */
-    public static final int MOST_WHOLE = 64 * 1024;
+    public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
     /** The most that a body may hold. */
-    public static final long MAX_BODY = 32L << 20;
+    public static final long MAX_BODY_BYTES = 32L << 20;
 
     private Framing() {}
 
     /** Whether the end of the body is told in one way that all readers take alike. */
-    public static boolean isClear(HttpMessage head) {
+    public static boolean isUnambiguous(HttpMessage head) {
         List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
         if (lengths.size() > 1 || !lengths.stream().allMatch(Framing::isNumber)) {
             return false;
@@ -36,6 +36,6 @@
     }
 
     public static boolean isTooLong(HttpMessage head) {
-        return HttpUtil.getContentLength(head, 0L) > MAX_BODY;
+        return HttpUtil.getContentLength(head, 0L) > MAX_BODY_BYTES;
     }
 }
--- a/src/main/java/ivybank/upstream/UpstreamConnection.java
+++ b/src/main/java/ivybank/upstream/UpstreamConnection.java
@@ -298,7 +298,7 @@
         if (!written && response.status().code() == SERVED) {
             pool.spoilt(node, "came before its request had left");
             finish(Ending.of(Outcome.CONNECT_FAILED), false); // a node begins with the last byte, so it has not run
-        } else if (!Framing.isClear(response) || !interim && !bounded) {
+        } else if (!Framing.isUnambiguous(response) || !interim && !bounded) {
             spoilt("doesn't tell where it ends");
         } else if (Framing.isTooLong(response)) {
             spoilt("is too long");
@@ -326,14 +326,14 @@
         if (rest != null) {
             passed += part.readableBytes();
             partMs = pool.nowMs();
-            if (passed > Framing.MAX_BODY) {
+            if (passed > Framing.MAX_BODY_BYTES) {
                 spoilt("is too long");
             } else {
                 rest.part(part.retain());
             }
             return;
         }
-        if (body.size() + part.readableBytes() > Framing.MOST_WHOLE) {
+        if (body.size() + part.readableBytes() > Framing.MAX_BUFFERED_BODY_BYTES) {
             passOn(part);
             return;
         }
