--- a/src/main/java/ivybank/cli/ViewTable.java
+++ b/src/main/java/ivybank/cli/ViewTable.java
@@ -63,7 +63,7 @@
     /** What counts for a difference: one that has been forgotten is as gone as one that is known to be. */
     private static String living(Asked by, int seat) {
         JsonNode member = member(by, seat);
-        return member == null || !FleetViewClient.lives(member) ? ABSENT : state(member);
+        return member == null || !FleetViewClient.isAlive(member) ? ABSENT : state(member);
     }
 
     private static String state(JsonNode member) {
--- a/src/main/java/ivybank/common/FleetViewClient.java
+++ b/src/main/java/ivybank/common/FleetViewClient.java
@@ -18,7 +18,7 @@
      * @param door as http://HOST:PORT
      * @throws IllegalArgumentException if that is no address of HTTP
      */
-    public static JsonNode ask(String door, int timeoutMs) {
+    public static JsonNode fetch(String door, int timeoutMs) {
         try {
             if (!(URI.create(door + "/fleet").toURL().openConnection() instanceof HttpURLConnection call)) {
                 throw new IllegalArgumentException(door);
@@ -36,7 +36,7 @@
     }
 
     /** Whether one of a view's members lives by it. */
-    public static boolean lives(JsonNode member) {
+    public static boolean isAlive(JsonNode member) {
         String standing = member.path("standing").asText("gone");
         return !standing.equals("gone") && !standing.equals("left");
     }
--- a/src/main/java/ivybank/rehearsal/stand/PeerViews.java
+++ b/src/main/java/ivybank/rehearsal/stand/PeerViews.java
@@ -96,7 +96,7 @@
         Map<Integer, Long> living = new HashMap<>();
         Map<Integer, Long> ended = new HashMap<>();
         for (JsonNode member : view.path("members")) {
-            (FleetViewClient.lives(member) ? living : ended)
+            (FleetViewClient.isAlive(member) ? living : ended)
                     .put(member.path("seat").asInt(), member.path("life").asLong());
         }
         return new Views.Look(run.world.nowMs(), by, view.path("digest").asText(), living, ended);
--- a/src/main/java/ivybank/rehearsal/stand/SidecarProcess.java
+++ b/src/main/java/ivybank/rehearsal/stand/SidecarProcess.java
@@ -82,7 +82,7 @@
 
     /** The view of its fleet, as its door tells it; null where it does not. */
     JsonNode view() {
-        return FleetViewClient.ask("http://" + Addresses.text(place.door()), DOOR_MS);
+        return FleetViewClient.fetch("http://" + Addresses.text(place.door()), DOOR_MS);
     }
 
     /** Replaces the configuration as one step. */
