--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -182,7 +182,7 @@
 
     void opened(ClientConnection connection) {
         acceptor.accepted();
-        stallDetectors.forEach(EventLoopStallDetector::accepted);
+        stallDetectors.forEach(EventLoopStallDetector::connectionAccepted);
         connections.add(connection);
         descriptors.take();
         evict(1);
--- a/src/main/java/ivybank/common/EventLoopStallDetector.java
+++ b/src/main/java/ivybank/common/EventLoopStallDetector.java
@@ -5,7 +5,7 @@
  * a garbage collection took long. What arrived meanwhile still stands in the sockets and is read in no particular order: a
  * node's answer before the end of the client that it is for, a request before the message that its node drains. What is sent
  * on then has to wait until all sockets have been read ({@link NextSelect}). Decides by the clock handed in, in milliseconds;
- * {@link #look} is due each {@link #periodMs()}. Used on the event loop alone.
+ * {@link #check} is due each {@link #periodMs()}. Used on the event loop alone.
  */
 public final class EventLoopStallDetector {
 
@@ -41,7 +41,7 @@
      *
      * @param graceMs for how long a node may be sent to that was told to drain
      */
-    public static EventLoopStallDetector beforeSends(double graceMs, double nowMs) {
+    public static EventLoopStallDetector forSends(double graceMs, double nowMs) {
         return new EventLoopStallDetector(
                 Math.max(LEAST_PERIOD_MS, Math.min(PERIOD_PART * graceMs, LONGEST_PERIOD_MS)), nowMs);
     }
@@ -50,7 +50,7 @@
      * One that notices what matters for the time that requests have: much longer hold-ups. On a slow machine the shorter ones
      * follow one another without a gap, and requests would count as having come long ago.
      */
-    public static EventLoopStallDetector ofRequests(double nowMs) {
+    public static EventLoopStallDetector forRequestTimes(double nowMs) {
         return new EventLoopStallDetector(REQUESTS_PERIOD_MS, nowMs);
     }
 
@@ -64,10 +64,10 @@
     }
 
     /**
-     * The look that is due; whether from now on {@link #passed} is due behind each pass, for it shows that the loop was held up.
+     * The look that is due; whether from now on {@link #passCompleted} is due behind each pass, for it shows that the loop was held up.
      * Where that is so already, the pass that is about to end began before this and tells nothing.
      */
-    public boolean look(double nowMs) {
+    public boolean check(double nowMs) {
         boolean shows = isLate(nowMs);
         boolean begins = shows && !settling;
         if (begins) {
@@ -83,24 +83,24 @@
     }
 
     /** A connection has been accepted; it may have stood in the backlog, with all that its client had to say. */
-    public void accepted() {
+    public void connectionAccepted() {
         accepted = true;
     }
 
     /** All sockets have been looked at once more; whether that has to be done again, for one is accepted in a pass. */
-    public boolean passed(double nowMs) {
+    public boolean passCompleted(double nowMs) {
         settling = accepted && nowMs < latestMs;
         accepted = false;
         return settling;
     }
 
     /** Whether something older may stand in the sockets than what is at hand. */
-    public boolean ofLate(double nowMs) {
+    public boolean isStalled(double nowMs) {
         return settling || isLate(nowMs);
     }
 
     /** The earliest at which what is found now may have come. */
-    public double earliestMs(double nowMs) {
+    public double earliestArrivalMs(double nowMs) {
         return isLate(nowMs) ? lookedMs : settling ? sinceMs : nowMs;
     }
 
--- a/src/main/java/ivybank/daemon/RequestDeadline.java
+++ b/src/main/java/ivybank/daemon/RequestDeadline.java
@@ -29,7 +29,7 @@
     static double atMs(ClientRequest request, double nowMs, EventLoopStallDetector stalls) {
         double leastMs = nowMs + Math.min(LEAST_LEFT_MS, LEAST_LEFT_PART * request.budgetMs());
         double byReadingMs = request.arrivedMs() + request.budgetMs();
-        double earliestMs = Math.min(request.earliestArrivalMs(), stalls.earliestMs(nowMs));
+        double earliestMs = Math.min(request.earliestArrivalMs(), stalls.earliestArrivalMs(nowMs));
         double byArrivalMs = earliestMs + LATE_MS + request.budgetMs();
         return Math.min(byReadingMs, Math.max(leastMs, byArrivalMs));
     }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -196,7 +196,7 @@
         boolean arriving = request.arriving();
         double deadlineMs =
                 arriving ? Exchange.NO_DEADLINE_YET : RequestDeadline.atMs(request, clock.nowMs(), stallDetector);
-        double earliestMs = Math.min(request.earliestArrivalMs(), sendStalls.earliestMs(clock.nowMs()));
+        double earliestMs = Math.min(request.earliestArrivalMs(), sendStalls.earliestArrivalMs(clock.nowMs()));
         Exchange exchange = new Exchange(++lastId, request, deadlineMs, earliestMs, client);
         exchanges.put(exchange.id, exchange);
         openIds.add(request.callId());
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -193,8 +193,8 @@
                 log);
         configReload = new ConfigReload(loop, file, discovery::moveTo, clock, log);
         drain = new DrainSequence(clock, log);
-        beforeSends = EventLoopStallDetector.beforeSends(config.drainGraceMs(), clock.nowMs());
-        ofRequests = EventLoopStallDetector.ofRequests(clock.nowMs());
+        beforeSends = EventLoopStallDetector.forSends(config.drainGraceMs(), clock.nowMs());
+        ofRequests = EventLoopStallDetector.forRequestTimes(clock.nowMs());
     }
 
     /**
@@ -490,7 +490,7 @@
         long periodMs = (long) stallDetector.periodMs();
         Runnable look = () -> {
             watchdog.checkIfDue();
-            if (stallDetector.look(clock.nowMs())) {
+            if (stallDetector.check(clock.nowMs())) {
                 settle(stallDetector);
             }
         };
@@ -499,7 +499,7 @@
 
     private void settle(EventLoopStallDetector stallDetector) {
         NextSelect.then(loop, () -> {
-            if (stallDetector.passed(clock.nowMs())) {
+            if (stallDetector.passCompleted(clock.nowMs())) {
                 settle(stallDetector);
             }
         });
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -211,7 +211,7 @@
      * drain, while the event loop was held up: what says so may still stand unread, and is looked for first.
      */
     void send(UpstreamConnection connection, UpstreamAttempt attempt) {
-        if (stallDetector.ofLate(clock.nowMs())) {
+        if (stallDetector.isStalled(clock.nowMs())) {
             NextSelect.then(loop, () -> writeIfWanted(connection, attempt));
         } else {
             write(connection, attempt);
--- a/src/test/java/ivybank/common/EventLoopStallDetectorTest.java
+++ b/src/test/java/ivybank/common/EventLoopStallDetectorTest.java
@@ -20,19 +20,19 @@
     /** After looks that came in their time, up to 1 s. */
     private static EventLoopStallDetector looking(EventLoopStallDetector stallDetector) {
         for (double nowMs = 0; nowMs <= 1000; nowMs += stallDetector.periodMs()) {
-            stallDetector.look(nowMs);
+            stallDetector.check(nowMs);
         }
         return stallDetector;
     }
 
     static List<EventLoopStallDetector> kinds() {
         return List.of(
-                looking(EventLoopStallDetector.beforeSends(500, 0)), looking(EventLoopStallDetector.ofRequests(0)));
+                looking(EventLoopStallDetector.forSends(500, 0)), looking(EventLoopStallDetector.forRequestTimes(0)));
     }
 
     private static double unnoticedMs(EventLoopStallDetector stallDetector) {
         double unnoticedMs = 0;
-        while (!stallDetector.ofLate(1000 + unnoticedMs)) {
+        while (!stallDetector.isStalled(1000 + unnoticedMs)) {
             unnoticedMs++;
         }
         return unnoticedMs;
@@ -45,7 +45,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {50, 350, 500, 1500, 60_000})
     void whatIsNotNoticedBeforeSendsIsShort(double graceMs) {
-        EventLoopStallDetector stallDetector = looking(EventLoopStallDetector.beforeSends(graceMs, 0));
+        EventLoopStallDetector stallDetector = looking(EventLoopStallDetector.forSends(graceMs, 0));
         double unnoticedMs = unnoticedMs(stallDetector);
         assertTrue(unnoticedMs <= 0.45 * graceMs, unnoticedMs + " of " + graceMs);
         assertTrue(2 * unnoticedMs <= 0.85 * CLIENT_LEFT_MS, unnoticedMs + " ms");
@@ -54,7 +54,7 @@
 
     @Test
     void whatIsNotNoticedOfRequestsIsLessThanTheyMayBeLate() {
-        assertTrue(unnoticedMs(looking(EventLoopStallDetector.ofRequests(0))) < 300);
+        assertTrue(unnoticedMs(looking(EventLoopStallDetector.forRequestTimes(0))) < 300);
     }
 
     /** Looks come a little late on any machine. */
@@ -63,9 +63,9 @@
     void itIsNotHeldUpWhileLooksComeInTheirTime(EventLoopStallDetector stallDetector) {
         double lateMs = 1.8 * stallDetector.periodMs();
         for (double nowMs = 1000 + lateMs; nowMs < 3000; nowMs += lateMs) {
-            assertFalse(stallDetector.ofLate(nowMs));
-            assertEquals(nowMs, stallDetector.earliestMs(nowMs));
-            stallDetector.look(nowMs);
+            assertFalse(stallDetector.isStalled(nowMs));
+            assertEquals(nowMs, stallDetector.earliestArrivalMs(nowMs));
+            stallDetector.check(nowMs);
         }
     }
 
@@ -73,46 +73,46 @@
     @ParameterizedTest
     @MethodSource("kinds")
     void itHoldsUntilAllSocketsHaveBeenLookedAtBehindTheLookThatShowsIt(EventLoopStallDetector stallDetector) {
-        assertEquals(1000, stallDetector.earliestMs(FOUND_MS));
-        assertTrue(stallDetector.look(FOUND_MS));
+        assertEquals(1000, stallDetector.earliestArrivalMs(FOUND_MS));
+        assertTrue(stallDetector.check(FOUND_MS));
         double nextMs = FOUND_MS + stallDetector.periodMs();
-        assertFalse(stallDetector.look(nextMs), "one look shows it");
-        assertTrue(stallDetector.ofLate(nextMs + 5));
-        assertEquals(1000, stallDetector.earliestMs(nextMs + 5));
-        assertFalse(stallDetector.passed(nextMs + 10));
-        assertFalse(stallDetector.ofLate(nextMs + 10));
-        assertEquals(nextMs + 10, stallDetector.earliestMs(nextMs + 10));
+        assertFalse(stallDetector.check(nextMs), "one look shows it");
+        assertTrue(stallDetector.isStalled(nextMs + 5));
+        assertEquals(1000, stallDetector.earliestArrivalMs(nextMs + 5));
+        assertFalse(stallDetector.passCompleted(nextMs + 10));
+        assertFalse(stallDetector.isStalled(nextMs + 10));
+        assertEquals(nextMs + 10, stallDetector.earliestArrivalMs(nextMs + 10));
     }
 
     /** A machine so slow that a pass alone is late: the pass that ends behind such a look has not looked at what came meanwhile. */
     @ParameterizedTest
     @MethodSource("kinds")
     void itHoldsForAWholePassBehindTheLastLookThatShowsIt(EventLoopStallDetector stallDetector) {
-        assertTrue(stallDetector.look(FOUND_MS));
-        assertFalse(stallDetector.look(FOUND_MS + 300), "it is followed pass by pass already");
-        assertTrue(stallDetector.passed(FOUND_MS + 301));
-        assertTrue(stallDetector.ofLate(FOUND_MS + 302));
-        assertEquals(1000, stallDetector.earliestMs(FOUND_MS + 302));
-        assertFalse(stallDetector.passed(FOUND_MS + 320));
-        assertFalse(stallDetector.ofLate(FOUND_MS + 320));
+        assertTrue(stallDetector.check(FOUND_MS));
+        assertFalse(stallDetector.check(FOUND_MS + 300), "it is followed pass by pass already");
+        assertTrue(stallDetector.passCompleted(FOUND_MS + 301));
+        assertTrue(stallDetector.isStalled(FOUND_MS + 302));
+        assertEquals(1000, stallDetector.earliestArrivalMs(FOUND_MS + 302));
+        assertFalse(stallDetector.passCompleted(FOUND_MS + 320));
+        assertFalse(stallDetector.isStalled(FOUND_MS + 320));
     }
 
     /** Connections that are accepted one after another stood in the backlog, however long each pass takes, but not without end. */
     @ParameterizedTest
     @MethodSource("kinds")
     void itHoldsWhileTheBacklogIsAccepted(EventLoopStallDetector stallDetector) {
-        stallDetector.look(FOUND_MS);
+        stallDetector.check(FOUND_MS);
         double nowMs = FOUND_MS;
-        stallDetector.accepted();
-        while (stallDetector.passed(nowMs)) {
-            assertTrue(stallDetector.ofLate(nowMs));
-            assertEquals(1000, stallDetector.earliestMs(nowMs));
+        stallDetector.connectionAccepted();
+        while (stallDetector.passCompleted(nowMs)) {
+            assertTrue(stallDetector.isStalled(nowMs));
+            assertEquals(1000, stallDetector.earliestArrivalMs(nowMs));
             nowMs += 0.7 * stallDetector.periodMs();
-            stallDetector.look(nowMs);
-            stallDetector.accepted();
+            stallDetector.check(nowMs);
+            stallDetector.connectionAccepted();
         }
         assertTrue(nowMs >= FOUND_MS + 1900 && nowMs <= FOUND_MS + 2100, "until " + nowMs);
-        stallDetector.accepted();
-        assertFalse(stallDetector.ofLate(nowMs), "a connection alone tells nothing");
+        stallDetector.connectionAccepted();
+        assertFalse(stallDetector.isStalled(nowMs), "a connection alone tells nothing");
     }
 }
