--- a/src/main/java/ivybank/client/ClientAcceptor.java
+++ b/src/main/java/ivybank/client/ClientAcceptor.java
@@ -158,7 +158,7 @@
             return; // it is asked until it closes
         }
         listener.config().setAutoRead(false);
-        NextSelect.then(loop, this::adjust);
+        NextSelect.runAfter(loop, this::adjust);
     }
 
     private void reopen() {
--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -381,7 +381,7 @@
             takeUp(arrival);
             return;
         }
-        NextSelect.then(context.executor(), () -> takeUpOnceConfirmed(arrival));
+        NextSelect.runAfter(context.executor(), () -> takeUpOnceConfirmed(arrival));
     }
 
     private void takeUpOnceConfirmed(Arrival arrival) {
@@ -614,7 +614,7 @@
         if (!retiring) {
             retiring = true;
             long before = reads;
-            NextSelect.then(context.executor(), () -> endRetirement(before, closing));
+            NextSelect.runAfter(context.executor(), () -> endRetirement(before, closing));
         }
     }
 
--- a/src/main/java/ivybank/client/RequestReader.java
+++ b/src/main/java/ivybank/client/RequestReader.java
@@ -95,7 +95,7 @@
             reset();
             if (ended != null) {
                 ending = ended;
-                NextSelect.then(ctx.executor(), () -> endRest(ctx));
+                NextSelect.runAfter(ctx.executor(), () -> endRest(ctx));
             } else {
                 ctx.fireChannelRead(whole);
             }
--- a/src/main/java/ivybank/common/Clock.java
+++ b/src/main/java/ivybank/common/Clock.java
@@ -25,7 +25,7 @@
     }
 
     /** The machine's monotonic clock in milliseconds: the same for all of its processes, whatever becomes of the wall clock. */
-    public double machineMs() {
+    public double monotonicMs() {
         return nanos.getAsLong() / NANOS_IN_MS;
     }
 
--- a/src/main/java/ivybank/common/NextSelect.java
+++ b/src/main/java/ivybank/common/NextSelect.java
@@ -17,7 +17,7 @@
      * Runs {@code task} after that select. In two steps: what falls due during a pass runs at the end of that same pass, but
      * what is scheduled from there runs at the end of the next one.
      */
-    public static void then(EventExecutor loop, Runnable task) {
+    public static void runAfter(EventExecutor loop, Runnable task) {
         loop.schedule(
                 () -> {
                     loop.schedule(task, 0, TimeUnit.MILLISECONDS);
--- a/src/main/java/ivybank/common/ProcessAge.java
+++ b/src/main/java/ivybank/common/ProcessAge.java
@@ -16,7 +16,7 @@
     }
 
     /** Its age at most, in milliseconds. */
-    public static double mostMs() {
+    public static double maxMs() {
         return MOST_RUNTIME_START_MS + sinceFirstLineMs();
     }
 }
--- a/src/main/java/ivybank/common/ReturnTime.java
+++ b/src/main/java/ivybank/common/RecoveryTime.java
@@ -6,13 +6,13 @@
  * Time to full service after a fault: until the share of what is served has come back to within 5% of what it was in the 5 s
  * before, and stays so for 5 s.
  */
-public final class ReturnTime {
+public final class RecoveryTime {
 
     private static final int BEFORE_S = 5;
     private static final int STAYS_S = 5;
     private static final double WITHIN = 0.05;
 
-    private ReturnTime() {}
+    private RecoveryTime() {}
 
     /**
      * The time in seconds.
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -77,7 +77,7 @@
 
     /** Takes over what the process before this one has left, if there is any; before this one serves. */
     void takeOver() {
-        double nowMs = clock.machineMs();
+        double nowMs = clock.monotonicMs();
         Optional<Memory> newest = others().stream().max(Comparator.comparingDouble(Memory::writtenMs));
         newest.ifPresent(memory -> {
             log.line("taking over what another process has learned of "
@@ -108,7 +108,7 @@
 
     private List<Memory> others() {
         try {
-            return files.others(clock.machineMs());
+            return files.others(clock.monotonicMs());
         } catch (IOException e) {
             fails("what other processes have left can't be read: " + e);
             return List.of();
@@ -116,7 +116,7 @@
     }
 
     private void tellElsewhere() {
-        double nowMs = clock.machineMs();
+        double nowMs = clock.monotonicMs();
         Map<String, Integer> out = new HashMap<>();
         int inHand = 0;
         int held = company ? HELD_BESIDE : 0;
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -146,7 +146,7 @@
     Memory memory(int descriptors) {
         Learned<String> learned = balancer.learned().named(directory::host);
         return new Memory(
-                clock.machineMs(),
+                clock.monotonicMs(),
                 unanswered,
                 descriptors,
                 learned.withStarts((host, startedMs) -> startedMs <= 0 ? startedMs : directory.statedStartMs(host)));
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -241,7 +241,7 @@
                 timing,
                 more == null ? null : more.store(),
                 InheritedListener.listener(environment));
-        sidecar.follow(ProcessAge.mostMs());
+        sidecar.follow(ProcessAge.maxMs());
         sidecar.prepare();
         if (more != null && more.peers() != null) {
             sidecar.among(
@@ -498,7 +498,7 @@
     }
 
     private void settle(EventLoopStallDetector stallDetector) {
-        NextSelect.then(loop, () -> {
+        NextSelect.runAfter(loop, () -> {
             if (stallDetector.passCompleted(clock.nowMs())) {
                 settle(stallDetector);
             }
--- a/src/main/java/ivybank/rehearsal/ReturnTable.java
+++ b/src/main/java/ivybank/rehearsal/ReturnTable.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import ivybank.common.ReturnTime;
+import ivybank.common.RecoveryTime;
 import ivybank.rehearsal.referee.Returns;
 import ivybank.rehearsal.referee.Service;
 import ivybank.rehearsal.scenario.Plan.Target;
@@ -43,7 +43,7 @@
                             .name()
                             .toLowerCase(Locale.ROOT)
                             .replace('_', '-'),
-                    ReturnTime.seconds(this::share, seconds, atS),
+                    RecoveryTime.seconds(this::share, seconds, atS),
                     day.returns().worst(from, Math.max(from + 1, Math.min(seconds, until))),
                     day.returns().worst(Math.max(0, from - REST_S), from)));
         }
--- a/src/main/java/ivybank/tally/FleetSum.java
+++ b/src/main/java/ivybank/tally/FleetSum.java
@@ -1,6 +1,6 @@
 package ivybank.tally;
 
-import ivybank.common.ReturnTime;
+import ivybank.common.RecoveryTime;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -244,7 +244,7 @@
         }
         long first = seconds.keySet().iterator().next();
         int count = (int) (seconds.lastKey() - first) + 1;
-        return ReturnTime.seconds(
+        return RecoveryTime.seconds(
                 second -> {
                     InSecond its = seconds.get(first + second);
                     return its == null || its.served + its.notServed == 0
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -212,7 +212,7 @@
      */
     void send(UpstreamConnection connection, UpstreamAttempt attempt) {
         if (stallDetector.isStalled(clock.nowMs())) {
-            NextSelect.then(loop, () -> writeIfWanted(connection, attempt));
+            NextSelect.runAfter(loop, () -> writeIfWanted(connection, attempt));
         } else {
             write(connection, attempt);
         }
--- a/src/test/java/ivybank/common/NextSelectTest.java
+++ b/src/test/java/ivybank/common/NextSelectTest.java
@@ -46,7 +46,7 @@
                                         throws InterruptedException {
                                     order.add("read");
                                     if (held.getCount() > 0) {
-                                        NextSelect.then(ctx.executor(), () -> {
+                                        NextSelect.runAfter(ctx.executor(), () -> {
                                             order.add("ran");
                                             ran.countDown();
                                         });
--- a/src/test/java/ivybank/common/ReturnTimeTest.java
+++ b/src/test/java/ivybank/common/RecoveryTimeTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class ReturnTimeTest {
+class RecoveryTimeTest {
 
     private static double time(double faultS, double... shares) {
-        return ReturnTime.seconds(second -> shares[second], shares.length, faultS);
+        return RecoveryTime.seconds(second -> shares[second], shares.length, faultS);
     }
 
     @Test
