--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.exchange.RequestHandler;
@@ -60,7 +60,7 @@
     private final RequestHandler driver;
     private final Clock clock;
     private final Limits limits;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final double retryAfterMs;
     private final Log log;
     private final List<RequestClass> classes;
@@ -97,7 +97,7 @@
             RequestHandler driver,
             Clock clock,
             Limits limits,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             String identityHeader,
             Log log) {
         this.identityHeader = identityHeader;
@@ -184,7 +184,7 @@
         acceptor.accepted();
         stallDetectors.forEach(EventLoopStallDetector::connectionAccepted);
         connections.add(connection);
-        descriptors.take();
+        descriptors.acquire();
         evict(1);
         acceptor.adjust();
     }
@@ -204,7 +204,7 @@
 
     /** How many more connections may be accepted. */
     private int room() {
-        return Math.min(limits.accepted() - connections.size(), descriptors.room());
+        return Math.min(limits.accepted() - connections.size(), descriptors.available());
     }
 
     /**
@@ -215,7 +215,7 @@
     private void evict(int most) {
         double nowMs = clock.nowMs();
         int tooMany =
-                ending ? 0 : descriptors.full() ? most : Math.min(most, connections.size() - limits.comfortable());
+                ending ? 0 : descriptors.isExhausted() ? most : Math.min(most, connections.size() - limits.comfortable());
         evict(tooMany, connection -> connection.isSpare(nowMs));
         if (!ending && !reuses()) {
             evict(
--- a/src/main/java/ivybank/common/Descriptors.java
+++ b/src/main/java/ivybank/common/DescriptorBudget.java
@@ -4,22 +4,22 @@
  * The file descriptors that both sides share. Each side has a bound of its own; together they would be too many, so
  * that what one side does not use the other may. Another process of the sidecar counts against the same limit.
  */
-public final class Descriptors {
+public final class DescriptorBudget {
 
     private final int most;
     private int used;
     private int elsewhere;
 
-    public Descriptors(int most) {
+    public DescriptorBudget(int most) {
         this.most = most;
     }
 
-    public boolean full() {
-        return room() == 0;
+    public boolean isExhausted() {
+        return available() == 0;
     }
 
     /** How many more may be taken. */
-    public int room() {
+    public int available() {
         return Math.max(0, most - used - elsewhere);
     }
 
@@ -28,11 +28,11 @@
     }
 
     /** Tells how many another process holds, or may hold before it is heard of again. */
-    public void elsewhere(int held) {
+    public void setUsedByOtherProcess(int held) {
         elsewhere = held;
     }
 
-    public void take() {
+    public void acquire() {
         used++;
     }
 
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import ivybank.client.ClientServer;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.handover.Memory;
 import ivybank.handover.MemoryFiles;
@@ -42,7 +42,7 @@
     private final EventLoop loop;
     private final RequestDispatcher dispatcher;
     private final ClientServer server;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Clock clock;
     private final Log log;
     private final MemoryFiles files;
@@ -58,7 +58,7 @@
             EventLoop loop,
             RequestDispatcher dispatcher,
             ClientServer server,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             Clock clock,
             Log log) {
         this.loop = loop;
@@ -133,7 +133,7 @@
         EventLoopTasks.execute(loop, () -> {
             dispatcher.elsewhere(out, requests);
             server.elsewhere(requests);
-            descriptors.elsewhere(heldElsewhere);
+            descriptors.setUsedByOtherProcess(heldElsewhere);
         });
     }
 
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -15,7 +15,7 @@
 import ivybank.client.ClientServer;
 import ivybank.common.BackgroundOutput;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.common.NextSelect;
@@ -91,7 +91,7 @@
     private final EventLoop loop;
     private final Watchdog watchdog;
     private final InvariantGuard guard;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final UpstreamPool pool;
     private final RequestDispatcher dispatcher;
     private final Discovery discovery;
@@ -160,7 +160,7 @@
         watchdog = new Watchdog(loop, clock, log);
         guard = new InvariantGuard(log::line);
         DescriptorShares shares = DescriptorShares.of(config.sockets());
-        descriptors = new Descriptors(shares.all());
+        descriptors = new DescriptorBudget(shares.all());
         clientLimits = shares.clients();
         UpstreamPool.Limits limits = UpstreamPool.Limits.usual(
                 shares.upstreams(),
--- a/src/main/java/ivybank/daemon/Warmup.java
+++ b/src/main/java/ivybank/daemon/Warmup.java
@@ -17,7 +17,7 @@
 import io.netty.channel.local.LocalServerChannel;
 import ivybank.client.ClientServer;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
 import ivybank.discovery.HostUpdate;
@@ -96,7 +96,7 @@
                 .channel(LocalServerChannel.class)
                 .childHandler(initializer(() -> new ChannelHandler[] {new Upstream()}))
                 .bind(upstream);
-        Descriptors descriptors = new Descriptors(2 * CONNECTIONS);
+        DescriptorBudget descriptors = new DescriptorBudget(2 * CONNECTIONS);
         UpstreamPool pool = new UpstreamPool(
                 loop,
                 clock,
--- a/src/main/java/ivybank/upstream/ConnectionOpener.java
+++ b/src/main/java/ivybank/upstream/ConnectionOpener.java
@@ -6,7 +6,7 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpRequestEncoder;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.discovery.Node;
 import ivybank.supervision.OutboundConnection;
 import ivybank.tally.Tally;
@@ -30,7 +30,7 @@
     private final UpstreamPool pool;
     private final EventLoop loop;
     private final Limits limits;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final LoadReport reports;
     private final Bootstrap bootstrap;
     /** How many spare connections each node has. */
@@ -47,7 +47,7 @@
             UpstreamPool pool,
             EventLoop loop,
             Limits limits,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             LoadReport reports,
             Bootstrap base) {
         this.pool = pool;
@@ -78,13 +78,13 @@
     }
 
     boolean isFull() {
-        return open() >= limits.connections() || descriptors.full();
+        return open() >= limits.connections() || descriptors.isExhausted();
     }
 
     /** A spare connection must never be the reason why another one can't be opened, here or on the client's side. */
     boolean hasRoomForSpares() {
         int kept = (int) (ROOM_KEPT_PART * limits.connections());
-        return open() < limits.connections() - kept && descriptors.room() > kept;
+        return open() < limits.connections() - kept && descriptors.available() > kept;
     }
 
     /** Opens a connection, and hands it on once it is up; null if it doesn't come up. */
@@ -161,7 +161,7 @@
     }
 
     private void begun(UpstreamConnection connection, Opening opening) {
-        descriptors.take();
+        descriptors.acquire();
         open.put(connection, opening);
         opened++;
         if (connection.spare) {
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -3,7 +3,7 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.EventLoop;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.common.NextSelect;
@@ -83,7 +83,7 @@
             EventLoop loop,
             Clock clock,
             Limits limits,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             LoadReport reports,
             Bootstrap base,
             Log log) {
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -12,7 +12,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.HttpMethod;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
 import ivybank.discovery.HostUpdate;
@@ -66,7 +66,7 @@
                     loop,
                     clock,
                     UpstreamPool.Limits.usual(10, 250, 10_000, 0),
-                    new Descriptors(20),
+                    new DescriptorBudget(20),
                     new LoadReport(List.of()),
                     new Bootstrap().channel(NioSocketChannel.class),
                     log);
--- a/src/test/java/ivybank/upstream/ConnectionReuseTest.java
+++ b/src/test/java/ivybank/upstream/ConnectionReuseTest.java
@@ -263,7 +263,7 @@
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             onLoop(() -> {
                 for (int i = 0; i < 200; i++) {
-                    descriptors.take();
+                    descriptors.acquire();
                 }
                 return null;
             });
--- a/src/test/java/ivybank/upstream/UpstreamPoolTestBase.java
+++ b/src/test/java/ivybank/upstream/UpstreamPoolTestBase.java
@@ -8,7 +8,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.handler.codec.http.HttpMethod;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.discovery.Node;
 import ivybank.exchange.ClientRequest;
@@ -33,7 +33,7 @@
     final EventLoop loop = group.next();
     final Clock clock = Clock.system();
     final Log log = new Log(new PrintStream(OutputStream.nullOutputStream()), clock);
-    final Descriptors descriptors = new Descriptors(200);
+    final DescriptorBudget descriptors = new DescriptorBudget(200);
     UpstreamPool pool = pool(100, 10_000);
 
     @AfterEach
