--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -25,7 +25,7 @@
 import ivybank.exchange.BodyPipe;
 import ivybank.exchange.ClientLink;
 import ivybank.exchange.RequestHandler;
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import java.io.IOException;
 import java.math.BigDecimal;
 import java.util.concurrent.TimeUnit;
@@ -271,23 +271,23 @@
      * also where it was good before and Netty has made another selector. {@code resting}: also where nothing is in hand.
      */
     void verify(boolean resting) {
-        if (!(context.channel() instanceof SteadySocketChannel channel)) {
+        if (!(context.channel() instanceof RetryingSocketChannel channel)) {
             return;
         }
         if (resting || current != null || isMute() || channel.hasPendingWrites()) {
             boolean stood = mayHaveStood;
             mayHaveStood = true; // what is found now may have come long ago
-            SteadySocketChannel.Input found = channel.verify();
+            RetryingSocketChannel.ReadResult found = channel.pollAndRearm();
             notedReading(found);
-            if (found == SteadySocketChannel.Input.READ_OUT || found == SteadySocketChannel.Input.NOT_READ) {
+            if (found == RetryingSocketChannel.ReadResult.EXHAUSTED || found == RetryingSocketChannel.ReadResult.NOT_READ) {
                 mayHaveStood = stood; // nothing was found
             }
         }
     }
 
     /** A read that finds nothing more shows as well as any other that the client can be read. */
-    private void notedReading(SteadySocketChannel.Input found) {
-        if (found == SteadySocketChannel.Input.READ_OUT) {
+    private void notedReading(RetryingSocketChannel.ReadResult found) {
+        if (found == RetryingSocketChannel.ReadResult.EXHAUSTED) {
             canBeRead();
         }
     }
@@ -300,7 +300,7 @@
     /** Guards a request whose client can't be read any more: whether that has left can't be seen, so it gets its answer now. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == SteadySocketChannel.Event.READ_FAILED) {
+        if (event == RetryingSocketChannel.Event.READ_FAILED) {
             double nowMs = clock.nowMs();
             blindSinceMs = Double.isNaN(blindSinceMs) ? nowMs : blindSinceMs;
             stoodSinceMs = Double.isNaN(stoodSinceMs) ? nowMs : stoodSinceMs;
@@ -326,7 +326,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (ctx.channel() instanceof SteadySocketChannel channel && !channel.takeHasRead()) {
+        if (ctx.channel() instanceof RetryingSocketChannel channel && !channel.getAndClearHasRead()) {
             ctx.fireChannelReadComplete(); // a read that failed, or found nothing where the selector was not asked
             return;
         }
@@ -403,13 +403,13 @@
     /** Guards nodes against requests whose clients have left unseen: the selector may tell nothing, or reads fail. */
     @Override
     public boolean confirmed() {
-        if (inRead || isArriving() || !(context.channel() instanceof SteadySocketChannel channel)) {
+        if (inRead || isArriving() || !(context.channel() instanceof RetryingSocketChannel channel)) {
             return true;
         }
         boolean open = channel.isActive();
-        SteadySocketChannel.Input found = open ? channel.readOut() : SteadySocketChannel.Input.NOT_READ;
+        RetryingSocketChannel.ReadResult found = open ? channel.readUntilEmpty() : RetryingSocketChannel.ReadResult.NOT_READ;
         notedReading(found);
-        return found != SteadySocketChannel.Input.FAILED && channel.isActive() == open;
+        return found != RetryingSocketChannel.ReadResult.FAILED && channel.isActive() == open;
     }
 
     private void takeUp(Arrival arrival) {
@@ -576,7 +576,7 @@
 
     /** Guards answers where writes fail for a moment: closing drops what is not written yet. */
     private boolean hasUnwrittenAnswer() {
-        return context.channel() instanceof SteadySocketChannel channel && channel.hasPendingWrites();
+        return context.channel() instanceof RetryingSocketChannel channel && channel.hasPendingWrites();
     }
 
     /** Whether nothing is to be expected of it any more; {@code keepIdle} spares what has brought requests. */
--- a/src/main/java/ivybank/client/ClientSocketChannel.java
+++ b/src/main/java/ivybank/client/ClientSocketChannel.java
@@ -1,10 +1,10 @@
 package ivybank.client;
 
 import io.netty.channel.Channel;
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 
 /** A connection that a client has made. */
-final class ClientSocketChannel extends SteadySocketChannel {
+final class ClientSocketChannel extends RetryingSocketChannel {
 
     /** As long as a client that says nothing is kept: one on which no read succeeds says no more. */
     private static final double LONGEST_FAILURE_MS = 2500;
--- a/src/main/java/ivybank/discovery/DiscoveryCall.java
+++ b/src/main/java/ivybank/discovery/DiscoveryCall.java
@@ -17,7 +17,7 @@
 import ivybank.common.Clock;
 import ivybank.common.Json;
 import ivybank.supervision.OutboundConnection;
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import java.io.IOException;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
@@ -147,9 +147,9 @@
 
     /** Looks at its connection without being told to: a registration with the selector may have failed, which Java tells nobody. */
     void verify() {
-        if (context != null && context.channel() instanceof SteadySocketChannel channel) {
-            SteadySocketChannel.Input found = channel.verify();
-            if (unreadable && found == SteadySocketChannel.Input.READ_OUT && channel.isActive()) {
+        if (context != null && context.channel() instanceof RetryingSocketChannel channel) {
+            RetryingSocketChannel.ReadResult found = channel.pollAndRearm();
+            if (unreadable && found == RetryingSocketChannel.ReadResult.EXHAUSTED && channel.isActive()) {
                 unreadable = false;
                 owner.readOut(this);
             }
@@ -158,7 +158,7 @@
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == SteadySocketChannel.Event.READ_FAILED) {
+        if (event == RetryingSocketChannel.Event.READ_FAILED) {
             unreadable = true;
             spoilt = true;
             owner.unreadableForNow(this);
--- a/src/main/java/ivybank/discovery/DiscoverySocketChannel.java
+++ b/src/main/java/ivybank/discovery/DiscoverySocketChannel.java
@@ -1,9 +1,9 @@
 package ivybank.discovery;
 
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 
 /** A connection to discovery. */
-public final class DiscoverySocketChannel extends SteadySocketChannel {
+public final class DiscoverySocketChannel extends RetryingSocketChannel {
 
     /**
      * As long as a watch may be silent. What discovery has told stands in the socket meanwhile, and would be lost with it; another
--- a/src/main/java/ivybank/transport/SteadySocketChannel.java
+++ b/src/main/java/ivybank/transport/RetryingSocketChannel.java
@@ -14,7 +14,7 @@
  * A socket channel that tries a read or write again that failed for a moment, where Netty closes the connection at once and
  * loses what is in hand on it. Reading pauses in between, for the selector would report the same again and again.
  */
-public class SteadySocketChannel extends NioSocketChannel {
+public class RetryingSocketChannel extends NioSocketChannel {
 
     /** Fired in the pipeline when a read has failed and is tried again. */
     public enum Event {
@@ -22,9 +22,9 @@
     }
 
     /** What a look at a channel's input has found. */
-    public enum Input {
+    public enum ReadResult {
         /** All that has come was read, and the peer goes on or its end has just been read. */
-        READ_OUT,
+        EXHAUSTED,
         /** Something was read; more may stand behind it. */
         MORE,
         /** Reading failed. */
@@ -48,7 +48,7 @@
     /** Whether it is left out of the selector for a moment, as far as reading is concerned. */
     private boolean suspended;
 
-    private Input lastRead = Input.NOT_READ;
+    private ReadResult lastRead = ReadResult.NOT_READ;
     private boolean hasRead;
     private boolean sendsAtOnce;
 
@@ -57,13 +57,13 @@
      *
      * @param longestMs for how long failures in a row are borne, in milliseconds
      */
-    protected SteadySocketChannel(double longestMs) {
+    protected RetryingSocketChannel(double longestMs) {
         this.readErrors = new TransientErrors(longestMs);
         this.writeErrors = new TransientErrors(longestMs);
     }
 
     /** One that was accepted. */
-    protected SteadySocketChannel(Channel parent, SocketChannel accepted, double longestMs) {
+    protected RetryingSocketChannel(Channel parent, SocketChannel accepted, double longestMs) {
         super(parent, accepted);
         this.readErrors = new TransientErrors(longestMs);
         this.writeErrors = new TransientErrors(longestMs);
@@ -73,17 +73,17 @@
      * Connects, reads and writes without being told that it is possible: a registration with the selector may have failed
      * unseen. Not from within a read of this channel. Returns what the last read found.
      */
-    public final Input poll() {
+    public final ReadResult poll() {
         NioUnsafe unsafe = unsafe();
         if (hasConnectedUntold()) {
             removeAndSubmit(NioIoOps.CONNECT); // the selector would report it in each pass
             unsafe.finishConnect();
         }
-        lastRead = Input.NOT_READ;
+        lastRead = ReadResult.NOT_READ;
         if (isActive() && config().isAutoRead()) {
             unsafe.read();
         }
-        Input found = lastRead;
+        ReadResult found = lastRead;
         if (isActive() && hasPendingWrites()) {
             unsafe.forceFlush();
         }
@@ -91,18 +91,18 @@
     }
 
     /** Polls, and has the selector told anew what this channel waits for where it had not told of what came. */
-    public final Input verify() {
-        Input found = poll();
-        if (found == Input.MORE) {
+    public final ReadResult pollAndRearm() {
+        ReadResult found = poll();
+        if (found == ReadResult.MORE) {
             suspendReading();
         }
         return found;
     }
 
     /** Reads until nothing is left, or so often: what stands behind something else, an end above all, is found too. */
-    public final Input readOut() {
-        Input found = poll();
-        for (int reads = 1; found == Input.MORE && reads < MOST_READS; reads++) {
+    public final ReadResult readUntilEmpty() {
+        ReadResult found = poll();
+        for (int reads = 1; found == ReadResult.MORE && reads < MOST_READS; reads++) {
             found = poll();
         }
         return found;
@@ -119,7 +119,7 @@
     }
 
     /** Whether anything has been read since this was asked last. */
-    public final boolean takeHasRead() {
+    public final boolean getAndClearHasRead() {
         boolean read = hasRead;
         hasRead = false;
         return read;
@@ -134,7 +134,7 @@
             }
             readErrors.succeeded();
             hasRead |= count > 0;
-            lastRead = count > 0 ? Input.MORE : Input.READ_OUT;
+            lastRead = count > 0 ? ReadResult.MORE : ReadResult.EXHAUSTED;
             return count;
         } catch (IOException e) {
             if (!readErrors.bears(e, System.nanoTime())) {
@@ -145,7 +145,7 @@
     }
 
     private int readFailed() {
-        lastRead = Input.FAILED;
+        lastRead = ReadResult.FAILED;
         suspendReading();
         pipeline().fireUserEventTriggered(Event.READ_FAILED);
         return 0;
--- a/src/main/java/ivybank/upstream/UpstreamConnection.java
+++ b/src/main/java/ivybank/upstream/UpstreamConnection.java
@@ -29,7 +29,7 @@
 import ivybank.exchange.ClientRequest;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.tally.Stage;
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import ivybank.upstream.UpstreamAttempt.Ending;
 import ivybank.upstream.UpstreamSocketChannel.UnreadInput;
 import java.io.ByteArrayOutputStream;
@@ -136,7 +136,7 @@
     void verify() {
         boolean waits = attempt != null || channel != null && !channel.isActive();
         if (waits && channel instanceof UpstreamSocketChannel socket) {
-            socket.verify();
+            socket.pollAndRearm();
         }
     }
 
@@ -421,7 +421,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (ctx.channel() instanceof SteadySocketChannel socket && !socket.takeHasRead()) {
+        if (ctx.channel() instanceof RetryingSocketChannel socket && !socket.getAndClearHasRead()) {
             ctx.fireChannelReadComplete(); // a read that failed, or found nothing where the selector was not asked
             return;
         }
--- a/src/main/java/ivybank/upstream/UpstreamSocketChannel.java
+++ b/src/main/java/ivybank/upstream/UpstreamSocketChannel.java
@@ -1,11 +1,11 @@
 package ivybank.upstream;
 
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
 /** A socket channel to an upstream that can tell, without waiting for the event loop, whether it has unread input. */
-public final class UpstreamSocketChannel extends SteadySocketChannel {
+public final class UpstreamSocketChannel extends RetryingSocketChannel {
 
     /** What the system holds for this channel and nobody has read. */
     enum UnreadInput {
--- a/src/test/java/ivybank/transport/SteadySocketChannelTest.java
+++ b/src/test/java/ivybank/transport/RetryingSocketChannelTest.java
@@ -20,13 +20,13 @@
 
 /** What polling a channel leaves behind at the selector. */
 @Timeout(20)
-class SteadySocketChannelTest {
+class RetryingSocketChannelTest {
 
     private static final long LONGEST_FAILURE_MS = 1000;
     private static final long CONNECT_MS = 200;
 
     /** A channel that tells what it waits for. */
-    private static final class TestChannel extends SteadySocketChannel {
+    private static final class TestChannel extends RetryingSocketChannel {
 
         TestChannel() {
             super(LONGEST_FAILURE_MS);
