--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -167,7 +167,7 @@
                 close(false);
             } else if (current != null
                     && current.request() != null
-                    && current.request().rest() != null) {
+                    && current.request().remainingBody() != null) {
                 driver.arrived(currentId);
             }
             return;
@@ -213,7 +213,7 @@
 
     /** Whether the last byte of the request at hand is still to come. */
     private boolean isArriving() {
-        return current != null && current.request() != null && current.request().arriving();
+        return current != null && current.request() != null && current.request().isIncomplete();
     }
 
     /** Answers the request at hand, which will never be whole, and so has not run. */
@@ -375,7 +375,7 @@
     private void begin(Arrival arrival) {
         current = arrival;
         boolean waits =
-                mayHaveStood && arrival.request() != null && arrival.request().rest() == null;
+                mayHaveStood && arrival.request() != null && arrival.request().remainingBody() == null;
         mayHaveStood = false;
         if (!waits) {
             takeUp(arrival);
@@ -434,16 +434,16 @@
 
     private void answer(Arrival arrival, Answer answer) {
         if (current != arrival || !context.channel().isActive()) {
-            if (answer.rest() != null) {
-                answer.rest().leave();
+            if (answer.remainingBody() != null) {
+                answer.remainingBody().leave();
             }
             return;
         }
-        boolean early = arrival.request() != null && arrival.request().arriving();
+        boolean early = arrival.request() != null && arrival.request().isIncomplete();
         if (early) {
-            arrival.request().rest().leave();
+            arrival.request().remainingBody().leave();
         }
-        if (answer.rest() != null) {
+        if (answer.remainingBody() != null) {
             pass(arrival, answer, early);
             return;
         }
@@ -504,16 +504,16 @@
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()));
         HttpHeaders headers = response.headers();
         setType(headers, answer);
-        if (answer.length() >= 0) {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, answer.length());
+        if (answer.contentLength() >= 0) {
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, answer.contentLength());
         } else if (!arrival.old()) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        boolean keepAlive = keepsAlive(arrival) && !early && !(arrival.old() && answer.length() < 0);
+        boolean keepAlive = keepsAlive(arrival) && !early && !(arrival.old() && answer.contentLength() < 0);
         HttpUtil.setKeepAlive(response, keepAlive);
         context.write(response);
         context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(answer.body())));
-        writing = answer.rest();
+        writing = answer.remainingBody();
         writing.take(new BodyPipe.Sink() {
             @Override
             public void part(ByteBuf part) {
@@ -657,7 +657,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         server.closed(this);
         if (current != null) {
-            BodyPipe unfinished = isArriving() ? current.request().rest() : null;
+            BodyPipe unfinished = isArriving() ? current.request().remainingBody() : null;
             current = null;
             driver.clientLeft(currentId);
             if (writing != null) {
--- a/src/main/java/ivybank/client/WaitingRequests.java
+++ b/src/main/java/ivybank/client/WaitingRequests.java
@@ -91,8 +91,8 @@
         holds(-waitingBytes);
         waiting.stream()
                 .filter(arrival ->
-                        arrival.request() != null && arrival.request().rest() != null)
-                .forEach(arrival -> arrival.request().rest().leave());
+                        arrival.request() != null && arrival.request().remainingBody() != null)
+                .forEach(arrival -> arrival.request().remainingBody().leave());
     }
 
     private void holds(long bytes) {
--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -140,7 +140,7 @@
     }
 
     private void count(Exchange exchange, Node node, double nowMs, boolean first, boolean atOnce) {
-        if (first && !exchange.request.arriving()) {
+        if (first && !exchange.request.isIncomplete()) {
             tally.took(atOnce ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
         }
         double startedMs = node.startedMs();
@@ -149,7 +149,7 @@
     }
 
     private void send(Exchange exchange, UpstreamAttempt attempt) {
-        SendRecord record = exchange.request.record();
+        SendRecord record = exchange.request.sendRecord();
         if (record == null) {
             pool.send(attempt);
         } else if (record.recorded()) {
--- a/src/main/java/ivybank/daemon/Exchange.java
+++ b/src/main/java/ivybank/daemon/Exchange.java
@@ -48,12 +48,12 @@
 
     /** Whether what an earlier attempt has sent of a long request is gone, so that it can't be sent again. */
     boolean isBodySpent() {
-        return request.rest() != null && request.rest().taken();
+        return request.remainingBody() != null && request.remainingBody().taken();
     }
 
     /** Since when an attempt that began at {@code begunMs} counts: a node begins with the request's last byte. */
     double sentMs(double begunMs, double nowMs) {
-        if (request.rest() == null) {
+        if (request.remainingBody() == null) {
             return begunMs;
         }
         double arrivedMs = isArriving() ? nowMs : deadlineMs - request.budgetMs();
@@ -67,7 +67,7 @@
 
     /** What its client has left at least: a request may have come before it was read. */
     double leastLeftMs(double nowMs) {
-        double byArrivalMs = request.rest() == null ? earliestArrivalMs + request.budgetMs() - nowMs : Double.MAX_VALUE;
+        double byArrivalMs = request.remainingBody() == null ? earliestArrivalMs + request.budgetMs() - nowMs : Double.MAX_VALUE;
         return Math.min(byArrivalMs, clientLeftMs(nowMs));
     }
 
@@ -96,7 +96,7 @@
 
     /** Notes on the request's record, if it has one, how an attempt that went out has ended. */
     void recordEnd(int number, Ending ending) {
-        SendRecord record = request.record();
+        SendRecord record = request.sendRecord();
         if (record == null || !attempts.get(number).wentOut()) {
             return;
         }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -193,7 +193,7 @@
 
     @Override
     public int request(ClientRequest request, Consumer<Answer> client) {
-        boolean arriving = request.arriving();
+        boolean arriving = request.isIncomplete();
         double deadlineMs =
                 arriving ? Exchange.NO_DEADLINE_YET : RequestDeadline.atMs(request, clock.nowMs(), stallDetector);
         double earliestMs = Math.min(request.earliestArrivalMs(), sendStalls.earliestArrivalMs(clock.nowMs()));
@@ -213,7 +213,7 @@
                 request.requestClass(),
                 request.tenant(),
                 Math.max(0, leftMs - RequestDeadline.reserveMs(request)),
-                request.repeat(),
+                request.clientRetry(),
                 arriving);
         events.tell(() -> {
             deciding = exchange.id;
@@ -335,7 +335,7 @@
     @Override
     public void began(Exchange exchange, int number, double sentMs, Answer answer) {
         if (!exchange.isUnanswered()) {
-            answer.rest().leave();
+            answer.remainingBody().leave();
             return;
         }
         exchange.passingOn = number;
--- a/src/main/java/ivybank/exchange/Answer.java
+++ b/src/main/java/ivybank/exchange/Answer.java
@@ -6,7 +6,7 @@
  * A final answer to the client; {@code retryAfterMs} 0 gives no advice. Of a long one {@code body} is the beginning and
  * {@code rest} what is still to come, else null; {@code length} is that of all, or -1 where only its end will tell.
  */
-public record Answer(int status, String contentType, byte[] body, double retryAfterMs, BodyPipe rest, long length) {
+public record Answer(int status, String contentType, byte[] body, double retryAfterMs, BodyPipe remainingBody, long contentLength) {
 
     private static final byte[] NO_BODY = {};
 
@@ -19,7 +19,7 @@
     }
 
     /** One whose end is still to come. */
-    public static Answer begun(String contentType, byte[] body, BodyPipe rest, long length) {
+    public static Answer streamed(String contentType, byte[] body, BodyPipe rest, long length) {
         return new Answer(200, contentType, body, 0, rest, length);
     }
 
@@ -28,7 +28,7 @@
     }
 
     /** A failure with its reason in words. */
-    public static Answer told(int status, String reason) {
+    public static Answer failure(int status, String reason) {
         return new Answer(status, "text/plain", (reason + "\n").getBytes(StandardCharsets.UTF_8), 0);
     }
 
--- a/src/main/java/ivybank/exchange/ClientRequest.java
+++ b/src/main/java/ivybank/exchange/ClientRequest.java
@@ -17,14 +17,14 @@
         byte[] body,
         int requestClass,
         int tenant,
-        boolean repeat,
+        boolean clientRetry,
         double arrivedMs,
         double earliestArrivalMs,
         double budgetMs,
         String identity,
-        SendRecord record,
-        BodyPipe rest,
-        long length,
+        SendRecord sendRecord,
+        BodyPipe remainingBody,
+        long contentLength,
         ClientLink client) {
 
     public ClientRequest(
@@ -60,12 +60,12 @@
     }
 
     /** Whether its last byte has not come yet. */
-    public boolean arriving() {
-        return rest != null && !rest.whole();
+    public boolean isIncomplete() {
+        return remainingBody != null && !remainingBody.whole();
     }
 
     /** The same, to be on record before it is sent. */
-    public ClientRequest with(SendRecord kept) {
+    public ClientRequest withSendRecord(SendRecord kept) {
         return new ClientRequest(
                 method,
                 uri,
@@ -74,14 +74,14 @@
                 body,
                 requestClass,
                 tenant,
-                repeat,
+                clientRetry,
                 arrivedMs,
                 earliestArrivalMs,
                 budgetMs,
                 identity,
                 kept,
-                rest,
-                length,
+                remainingBody,
+                contentLength,
                 client);
     }
 }
--- a/src/main/java/ivybank/promises/PromiseKeeper.java
+++ b/src/main/java/ivybank/promises/PromiseKeeper.java
@@ -288,7 +288,7 @@
             case JOIN -> {
                 return join(inHand.get(identity), request, client);
             }
-            case IN_DOUBT -> client.accept(Answer.told(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
+            case IN_DOUBT -> client.accept(Answer.failure(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
             case NO_ROOM -> client.accept(Answer.refused(retryAfterMs));
             default -> {
                 return take(identity, request, client);
@@ -309,7 +309,7 @@
         Waiter first = new Waiter(client);
         promise.waiters.add(first);
         double deadlineMs = request.arrivedMs() + request.budgetMs();
-        int number = driver.request(request.with(promise), answer -> answered(promise, answer, deadlineMs));
+        int number = driver.request(request.withSendRecord(promise), answer -> answered(promise, answer, deadlineMs));
         promise.number = number;
         first.number = number;
         if (inHand.get(identity) == promise) {
@@ -365,7 +365,7 @@
                 promise,
                 settings.letThrough()
                         ? answer
-                        : Answer.told(FAILED, "it has run, and its answer could not be recorded: in doubt"));
+                        : Answer.failure(FAILED, "it has run, and its answer could not be recorded: in doubt"));
     }
 
     /** It has ended without an answer that is on record. */
@@ -386,7 +386,7 @@
     private void bound(Waiter waiter, double deadlineMs) {
         waiter.patience = after(
                 deadlineMs - MARGIN_MS - clock.nowMs(),
-                () -> waiter.tell(Answer.told(OUT_OF_TIME, "it is in hand, and its answer is not there yet")));
+                () -> waiter.tell(Answer.failure(OUT_OF_TIME, "it is in hand, and its answer is not there yet")));
     }
 
     private int join(Promise promise, ClientRequest request, Consumer<Answer> client) {
@@ -405,7 +405,7 @@
                 key(identity),
                 (value, failure) -> loop.execute(() -> waiter.tell(
                         value == null
-                                ? Answer.told(
+                                ? Answer.failure(
                                         FAILED,
                                         "it has run, and its answer can't be read: "
                                                 + (failure == null ? "it was just forgotten" : failure.getMessage()))
--- a/src/main/java/ivybank/upstream/UpstreamConnection.java
+++ b/src/main/java/ivybank/upstream/UpstreamConnection.java
@@ -167,16 +167,16 @@
             headers.set(IDEMPOTENCY_KEY, request.idempotencyKey());
         }
         if (request.method().equals(HttpMethod.POST)) {
-            if (request.length() >= 0) {
-                headers.set(HttpHeaderNames.CONTENT_LENGTH, request.length());
+            if (request.contentLength() >= 0) {
+                headers.set(HttpHeaderNames.CONTENT_LENGTH, request.contentLength());
             } else {
                 headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             }
         }
-        if (request.rest() != null) {
+        if (request.remainingBody() != null) {
             channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), headers));
             writePart(Unpooled.wrappedBuffer(request.body()));
-            upload = request.rest();
+            upload = request.remainingBody();
             upload.take(new Upload(next));
             return;
         }
@@ -203,7 +203,7 @@
             written = whole;
             if (!whole) {
                 finish(Ending.of(Outcome.CONNECT_FAILED), false);
-            } else if (sent.request.rest() != null) {
+            } else if (sent.request.remainingBody() != null) {
                 sent.startTimer(channel.eventLoop());
             }
         }
@@ -348,7 +348,7 @@
     private void passOn(ByteBuf part) {
         if (outcome() != Outcome.OK) {
             finish(Ending.of(outcome()), false); // what it says is of no interest
-        } else if (attempt.request.record() != null) {
+        } else if (attempt.request.sendRecord() != null) {
             spoilt("is too long to be put on record");
         } else {
             passed = (long) body.size() + part.readableBytes();
@@ -366,7 +366,7 @@
             rest.part(part.retain());
             partMs = pool.nowMs();
             watchStall(attempt);
-            attempt.begin(Answer.begun(
+            attempt.begin(Answer.streamed(
                     head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                     body.toByteArray(),
                     rest,
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -161,7 +161,7 @@
 
     /** Sends an attempt; it may end before this returns. */
     public void send(UpstreamAttempt attempt) {
-        if (!attempt.request.arriving()) {
+        if (!attempt.request.isIncomplete()) {
             attempt.startTimer(loop);
         }
         reuse.attemptBegan();
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -153,7 +153,7 @@
     void whatWaitsForItsRecordIsNotSentOnceItsClientHasLeft() throws Exception {
         HeldRecord record = new HeldRecord();
         int id = onLoop(() -> {
-            int number = dispatcher.request(request(6000).with(record), answer -> {});
+            int number = dispatcher.request(request(6000).withSendRecord(record), answer -> {});
             actions.send(number, 0, 0);
             return number;
         });
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/OnRecordTest.java
@@ -251,10 +251,10 @@
         onLoop(() -> {
             driver.requests
                     .get(request)
-                    .record()
+                    .sendRecord()
                     .record(
                             () -> {
-                                driver.requests.get(request).record().sending();
+                                driver.requests.get(request).sendRecord().sending();
                                 out.countDown();
                             },
                             () -> driver.clients.get(request).accept(Answer.refused(100)));
--- a/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
+++ b/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
@@ -305,7 +305,7 @@
                     node(server.address()), request(HttpMethod.GET, new byte[0]), 200, new UpstreamAttempt.Listener() {
                         @Override
                         public void began(Answer answer) {
-                            answer.rest().take(new BodyPipe.Sink() {
+                            answer.remainingBody().take(new BodyPipe.Sink() {
                                 @Override
                                 public void part(ByteBuf part) {
                                     part.release();
