--- a/src/main/java/ivybank/client/ArrivalParser.java
+++ b/src/main/java/ivybank/client/ArrivalParser.java
@@ -41,7 +41,7 @@
         }
         Arrival arrival = arrival(message, earliestMs);
         if (message.rest() != null && arrival.request() == null) {
-            message.rest().leave();
+            message.rest().abandon();
             return new Arrival(null, arrival.status(), false);
         }
         return arrival;
--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -161,7 +161,7 @@
 
     private void take(RequestReader.Read message) {
         if (message == RequestReader.Read.LAST) {
-            arriving = arriving != null && arriving.whole() ? null : arriving;
+            arriving = arriving != null && arriving.isComplete() ? null : arriving;
             held();
             if (closing) {
                 close(false);
@@ -201,7 +201,7 @@
 
     private void refuseInItsTurn(RequestReader.Read message) {
         if (message.rest() != null) {
-            message.rest().leave();
+            message.rest().abandon();
         }
         if (message.head() == null) {
             waiting.endWith(message.status());
@@ -224,7 +224,7 @@
     }
 
     @Override
-    public void wanted(boolean more) {
+    public void setDemand(boolean more) {
         if (more != wanted) {
             wanted = more;
             double nowMs = clock.nowMs();
@@ -235,8 +235,8 @@
     }
 
     @Override
-    public void left() {
-        wanted(true); // it is read to its end all the same
+    public void abandoned() {
+        setDemand(true); // it is read to its end all the same
     }
 
     /** Bounds what waits here: requests behind the one at hand, and answers that the client does not read. */
@@ -247,7 +247,7 @@
 
     /** Tells the server what of the body that is coming nobody has taken yet. */
     private void held() {
-        long now = arriving == null ? 0 : arriving.heldBytes();
+        long now = arriving == null ? 0 : arriving.bufferedBytes();
         server.holds(now - heldBytes);
         heldBytes = now;
     }
@@ -319,7 +319,7 @@
         boolean writable = ctx.channel().isWritable();
         stalledSinceMs = writable ? Double.NaN : clock.nowMs();
         if (writing != null) {
-            writing.wanted(writable);
+            writing.setDemand(writable);
         }
         next();
     }
@@ -435,13 +435,13 @@
     private void answer(Arrival arrival, Answer answer) {
         if (current != arrival || !context.channel().isActive()) {
             if (answer.remainingBody() != null) {
-                answer.remainingBody().leave();
+                answer.remainingBody().abandon();
             }
             return;
         }
         boolean early = arrival.request() != null && arrival.request().isIncomplete();
         if (early) {
-            arrival.request().remainingBody().leave();
+            arrival.request().remainingBody().abandon();
         }
         if (answer.remainingBody() != null) {
             pass(arrival, answer, early);
@@ -514,12 +514,12 @@
         context.write(response);
         context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(answer.body())));
         writing = answer.remainingBody();
-        writing.take(new BodyPipe.Sink() {
+        writing.attach(new BodyPipe.Sink() {
             @Override
-            public void part(ByteBuf part) {
+            public void write(ByteBuf part) {
                 BodyPipe pipe = writing;
                 context.writeAndFlush(new DefaultHttpContent(part));
-                pipe.wanted(context.channel().isWritable());
+                pipe.setDemand(context.channel().isWritable());
             }
 
             @Override
@@ -661,7 +661,7 @@
             current = null;
             driver.clientLeft(currentId);
             if (writing != null) {
-                writing.leave();
+                writing.abandon();
             }
             if (unfinished != null) {
                 unfinished.end(false);
--- a/src/main/java/ivybank/client/RequestReader.java
+++ b/src/main/java/ivybank/client/RequestReader.java
@@ -112,7 +112,7 @@
             ending = null;
             ByteBuf last = lastPart;
             lastPart = null;
-            ended.part(last);
+            ended.write(last);
             ended.end(true);
             ctx.fireChannelRead(Read.LAST);
         }
@@ -164,7 +164,7 @@
             if (rest != null && message instanceof LastHttpContent) {
                 lastPart = part.retain(); // with it the node would have all
             } else if (rest != null) {
-                rest.part(part.retain());
+                rest.write(part.retain());
             } else {
                 part.readBytes(body, part.readableBytes());
             }
--- a/src/main/java/ivybank/client/WaitingRequests.java
+++ b/src/main/java/ivybank/client/WaitingRequests.java
@@ -92,7 +92,7 @@
         waiting.stream()
                 .filter(arrival ->
                         arrival.request() != null && arrival.request().remainingBody() != null)
-                .forEach(arrival -> arrival.request().remainingBody().leave());
+                .forEach(arrival -> arrival.request().remainingBody().abandon());
     }
 
     private void holds(long bytes) {
--- a/src/main/java/ivybank/daemon/Exchange.java
+++ b/src/main/java/ivybank/daemon/Exchange.java
@@ -48,7 +48,7 @@
 
     /** Whether what an earlier attempt has sent of a long request is gone, so that it can't be sent again. */
     boolean isBodySpent() {
-        return request.remainingBody() != null && request.remainingBody().taken();
+        return request.remainingBody() != null && request.remainingBody().isAttached();
     }
 
     /** Since when an attempt that began at {@code begunMs} counts: a node begins with the request's last byte. */
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -335,7 +335,7 @@
     @Override
     public void began(Exchange exchange, int number, double sentMs, Answer answer) {
         if (!exchange.isUnanswered()) {
-            answer.remainingBody().leave();
+            answer.remainingBody().abandon();
             return;
         }
         exchange.passingOn = number;
--- a/src/main/java/ivybank/exchange/BodyPipe.java
+++ b/src/main/java/ivybank/exchange/BodyPipe.java
@@ -15,16 +15,16 @@
     public interface Source {
 
         /** Whether more is wanted now. */
-        void wanted(boolean more);
+        void setDemand(boolean more);
 
         /** Nobody takes the rest. */
-        void left();
+        void abandoned();
     }
 
     /** Writes the body; owns the parts that it is given. */
     public interface Sink {
 
-        void part(ByteBuf part);
+        void write(ByteBuf part);
 
         /** Nothing more comes; {@code whole}: it was all. */
         void ended(boolean whole);
@@ -32,7 +32,7 @@
 
     private final Source source;
     private final Deque<ByteBuf> held = new ArrayDeque<>();
-    private long heldBytes;
+    private long bufferedBytes;
     private Sink sink;
     private boolean taken;
     /** Whether the sink can take no more at once. */
@@ -49,16 +49,16 @@
     }
 
     /** Passes a part on, which this owns from now on. */
-    public void part(ByteBuf part) {
+    public void write(ByteBuf part) {
         if (left || ended || !part.isReadable()) {
             part.release();
             return;
         }
         held.addLast(part);
-        heldBytes += part.readableBytes();
+        bufferedBytes += part.readableBytes();
         deliver();
         if (!held.isEmpty() && !left) {
-            source.wanted(false);
+            source.setDemand(false);
         }
     }
 
@@ -82,8 +82,8 @@
         delivering = true;
         while (sink != null && !paused && !held.isEmpty()) {
             ByteBuf part = held.pollFirst();
-            heldBytes -= part.readableBytes();
-            sink.part(part);
+            bufferedBytes -= part.readableBytes();
+            sink.write(part);
         }
         delivering = false;
         if (sink != null && ended && !told && held.isEmpty()) {
@@ -93,41 +93,41 @@
     }
 
     /** Whether somebody takes it, or has: what went with that is gone. */
-    public boolean taken() {
+    public boolean isAttached() {
         return taken;
     }
 
     /** Whether all has come. */
-    public boolean whole() {
+    public boolean isComplete() {
         return ended && whole;
     }
 
     /** How much has come that nobody has taken yet, in bytes. */
-    public long heldBytes() {
-        return heldBytes;
+    public long bufferedBytes() {
+        return bufferedBytes;
     }
 
     /** Takes what has come and what comes. */
-    public void take(Sink next) {
+    public void attach(Sink next) {
         taken = true;
         sink = next;
         deliver();
         if (!ended && !left && !paused) {
-            source.wanted(true);
+            source.setDemand(true);
         }
     }
 
     /** Tells whether the sink can take more at once. */
-    public void wanted(boolean more) {
+    public void setDemand(boolean more) {
         paused = !more;
         deliver();
         if (!ended && !left) {
-            source.wanted(!paused && held.isEmpty());
+            source.setDemand(!paused && held.isEmpty());
         }
     }
 
     /** Nobody takes the rest. */
-    public void leave() {
+    public void abandon() {
         if (left) {
             return;
         }
@@ -136,7 +136,7 @@
         sink = null;
         release();
         if (!ended) {
-            source.left();
+            source.abandoned();
         }
     }
 
@@ -144,6 +144,6 @@
         while (!held.isEmpty()) {
             held.pollFirst().release();
         }
-        heldBytes = 0;
+        bufferedBytes = 0;
     }
 }
--- a/src/main/java/ivybank/exchange/ClientRequest.java
+++ b/src/main/java/ivybank/exchange/ClientRequest.java
@@ -61,7 +61,7 @@
 
     /** Whether its last byte has not come yet. */
     public boolean isIncomplete() {
-        return remainingBody != null && !remainingBody.whole();
+        return remainingBody != null && !remainingBody.isComplete();
     }
 
     /** The same, to be on record before it is sent. */
--- a/src/main/java/ivybank/upstream/UpstreamAttempt.java
+++ b/src/main/java/ivybank/upstream/UpstreamAttempt.java
@@ -19,7 +19,7 @@
 
         /** A long answer has begun; it belongs to the client now, and the attempt ends with it. */
         default void began(Answer answer) {
-            answer.remainingBody().leave();
+            answer.remainingBody().abandon();
         }
 
         /** The most that its node may be told of the time that is left, in milliseconds. */
--- a/src/main/java/ivybank/upstream/UpstreamConnection.java
+++ b/src/main/java/ivybank/upstream/UpstreamConnection.java
@@ -177,7 +177,7 @@
             channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), headers));
             writePart(Unpooled.wrappedBuffer(request.body()));
             upload = request.remainingBody();
-            upload.take(new Upload(next));
+            upload.attach(new Upload(next));
             return;
         }
         DefaultFullHttpRequest message = new DefaultFullHttpRequest(
@@ -218,7 +218,7 @@
         }
 
         @Override
-        public void part(ByteBuf part) {
+        public void write(ByteBuf part) {
             if (attempt != sent) {
                 part.release();
                 return;
@@ -251,7 +251,7 @@
 
     /** Guards a request's client against a node that reads no further: such an attempt has not run, and ends. */
     private void writable(boolean more) {
-        upload.wanted(more);
+        upload.setDemand(more);
         if (stalled != null) {
             stalled.cancel(false);
         }
@@ -329,7 +329,7 @@
             if (passed > Framing.MAX_BODY_BYTES) {
                 spoilt("is too long");
             } else {
-                rest.part(part.retain());
+                rest.write(part.retain());
             }
             return;
         }
@@ -354,16 +354,16 @@
             passed = (long) body.size() + part.readableBytes();
             rest = new BodyPipe(new BodyPipe.Source() {
                 @Override
-                public void wanted(boolean more) {
+                public void setDemand(boolean more) {
                     channel.config().setAutoRead(more);
                 }
 
                 @Override
-                public void left() {
+                public void abandoned() {
                     close();
                 }
             });
-            rest.part(part.retain());
+            rest.write(part.retain());
             partMs = pool.nowMs();
             watchStall(attempt);
             attempt.begin(Answer.streamed(
@@ -461,7 +461,7 @@
             rest = null;
         }
         if (upload != null) {
-            upload.leave();
+            upload.abandon();
             upload = null;
         }
         head = null;
--- a/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
+++ b/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
@@ -305,9 +305,9 @@
                     node(server.address()), request(HttpMethod.GET, new byte[0]), 200, new UpstreamAttempt.Listener() {
                         @Override
                         public void began(Answer answer) {
-                            answer.remainingBody().take(new BodyPipe.Sink() {
+                            answer.remainingBody().attach(new BodyPipe.Sink() {
                                 @Override
-                                public void part(ByteBuf part) {
+                                public void write(ByteBuf part) {
                                     part.release();
                                 }
 
