--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -168,7 +168,7 @@
             } else if (current != null
                     && current.request() != null
                     && current.request().remainingBody() != null) {
-                driver.arrived(currentId);
+                driver.bodyCompleted(currentId);
             }
             return;
         }
@@ -219,7 +219,7 @@
     /** Answers the request at hand, which will never be whole, and so has not run. */
     private void abort(int status) {
         Arrival arrival = current;
-        driver.clientLeft(currentId);
+        driver.cancel(currentId);
         answer(arrival, Answer.status(status));
     }
 
@@ -388,7 +388,7 @@
         if (current != arrival || !context.channel().isActive()) {
             return;
         }
-        boolean confirmed = confirmed();
+        boolean confirmed = verifyClientPresent();
         if (current != arrival) {
             return; // it was failed, for its connection can't be read
         }
@@ -402,7 +402,7 @@
 
     /** Guards nodes against requests whose clients have left unseen: the selector may tell nothing, or reads fail. */
     @Override
-    public boolean confirmed() {
+    public boolean verifyClientPresent() {
         if (inRead || isArriving() || !(context.channel() instanceof RetryingSocketChannel channel)) {
             return true;
         }
@@ -418,7 +418,7 @@
             answer(arrival, Answer.refused(server.retryAfterMs()));
         } else if (arrival.request() == null) {
             answer(arrival, Answer.status(arrival.status()));
-        } else if (driver.isOpen(arrival.request().callId())) {
+        } else if (driver.isInFlight(arrival.request().callId())) {
             // Guards against one client that would have another one's request run twice, or be answered in its place.
             answer(arrival, Answer.status(HttpStatus.CONFLICT));
         } else if (server.overfull()) {
@@ -427,7 +427,7 @@
         } else if (server.takesTheLast()) {
             answer(arrival, Answer.refused(server.retryAfterMs()));
         } else {
-            int id = driver.request(arrival.request(), answer -> answer(arrival, answer));
+            int id = driver.handle(arrival.request(), answer -> answer(arrival, answer));
             currentId = current == arrival ? id : 0;
         }
     }
@@ -659,7 +659,7 @@
         if (current != null) {
             BodyPipe unfinished = isArriving() ? current.request().remainingBody() : null;
             current = null;
-            driver.clientLeft(currentId);
+            driver.cancel(currentId);
             if (writing != null) {
                 writing.abandon();
             }
@@ -701,7 +701,7 @@
     /** Fails the request at hand and ends the connection with that. */
     private void failAtHand() {
         ended = true;
-        driver.clientLeft(currentId);
+        driver.cancel(currentId);
         current = new Arrival(current.request(), 0, false, current.old());
         answer(current, Answer.status(HttpStatus.BAD_GATEWAY));
     }
--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -152,8 +152,8 @@
         SendRecord record = exchange.request.sendRecord();
         if (record == null) {
             pool.send(attempt);
-        } else if (record.recorded()) {
-            record.sending();
+        } else if (record.isRecorded()) {
+            record.attemptStarted();
             attempt.goOut();
             pool.send(attempt);
         } else {
--- a/src/main/java/ivybank/daemon/Exchange.java
+++ b/src/main/java/ivybank/daemon/Exchange.java
@@ -100,7 +100,7 @@
         if (record == null || !attempts.get(number).wentOut()) {
             return;
         }
-        record.ended(ending.outcome().provesNotRun());
+        record.attemptEnded(ending.outcome().provesNotRun());
         if (ending.outcome() == Outcome.OK && over) {
             record.servedLate(Answer.served(ending.contentType(), ending.body()));
         }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -192,7 +192,7 @@
     }
 
     @Override
-    public int request(ClientRequest request, Consumer<Answer> client) {
+    public int handle(ClientRequest request, Consumer<Answer> client) {
         boolean arriving = request.isIncomplete();
         double deadlineMs =
                 arriving ? Exchange.NO_DEADLINE_YET : RequestDeadline.atMs(request, clock.nowMs(), stallDetector);
@@ -227,7 +227,7 @@
     }
 
     @Override
-    public void arrived(int id) {
+    public void bodyCompleted(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.over && exchange.isArriving()) {
             double budgetMs = exchange.request.budgetMs();
@@ -245,12 +245,12 @@
     }
 
     @Override
-    public boolean isOpen(String callId) {
+    public boolean isInFlight(String callId) {
         return openIds.contains(callId);
     }
 
     @Override
-    public void clientLeft(int id) {
+    public void cancel(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.over) {
             counters.left++;
--- a/src/main/java/ivybank/exchange/ClientLink.java
+++ b/src/main/java/ivybank/exchange/ClientLink.java
@@ -11,5 +11,5 @@
      * sent for it now. Where not, either its end was just seen and is about to be told, or nothing can be read for the moment: then
      * this is to be asked again a little later.
      */
-    boolean confirmed();
+    boolean verifyClientPresent();
 }
--- a/src/main/java/ivybank/exchange/RequestHandler.java
+++ b/src/main/java/ivybank/exchange/RequestHandler.java
@@ -12,14 +12,14 @@
     int unanswered();
 
     /** Whether a request of this id, as its client gave it, is in hand and not answered yet. */
-    boolean isOpen(String callId);
+    boolean isInFlight(String callId);
 
     /** Takes a request, which {@code client} is told the one final answer of, perhaps at once; returns its number. */
-    int request(ClientRequest request, Consumer<Answer> client);
+    int handle(ClientRequest request, Consumer<Answer> client);
 
     /** The last byte of a long request has come: its time counts from now on. */
-    void arrived(int number);
+    void bodyCompleted(int number);
 
     /** The client of a request no longer waits; nothing is owed to it. */
-    void clientLeft(int number);
+    void cancel(int number);
 }
--- a/src/main/java/ivybank/exchange/SendRecord.java
+++ b/src/main/java/ivybank/exchange/SendRecord.java
@@ -4,16 +4,16 @@
 public interface SendRecord {
 
     /** Whether it is on record that the request may go to nodes. */
-    boolean recorded();
+    boolean isRecorded();
 
     /** Puts it on record, and runs one of the two later on the event loop; asked again meanwhile, each is told. */
     void record(Runnable recorded, Runnable failed);
 
     /** An attempt goes out: from now on the request may run at a node. */
-    void sending();
+    void attemptStarted();
 
     /** An attempt that went out has ended; {@code proved} if that proves that it has not run. */
-    void ended(boolean proved);
+    void attemptEnded(boolean proved);
 
     /** A node has served it after its client was told something else, or had left. */
     void servedLate(Answer answer);
--- a/src/main/java/ivybank/promises/PromiseKeeper.java
+++ b/src/main/java/ivybank/promises/PromiseKeeper.java
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public boolean recorded() {
+        public boolean isRecorded() {
             return recorded;
         }
 
@@ -122,13 +122,13 @@
         }
 
         @Override
-        public void sending() {
+        public void attemptStarted() {
             out++;
             promises.sent(identity);
         }
 
         @Override
-        public void ended(boolean proved) {
+        public void attemptEnded(boolean proved) {
             out -= proved ? 1 : 0;
         }
 
@@ -267,15 +267,15 @@
     }
 
     @Override
-    public boolean isOpen(String callId) {
-        return driver.isOpen(callId);
+    public boolean isInFlight(String callId) {
+        return driver.isInFlight(callId);
     }
 
     @Override
-    public int request(ClientRequest request, Consumer<Answer> client) {
+    public int handle(ClientRequest request, Consumer<Answer> client) {
         RequestClass spec = classes.get(request.requestClass());
         if (spec.effect() == Effect.SAFE) {
-            return driver.request(request, client);
+            return driver.handle(request, client);
         }
         String named = request.identity();
         // One without a name is never recognised again: what is promised of it is only that this sidecar sends it once.
@@ -309,7 +309,7 @@
         Waiter first = new Waiter(client);
         promise.waiters.add(first);
         double deadlineMs = request.arrivedMs() + request.budgetMs();
-        int number = driver.request(request.withSendRecord(promise), answer -> answered(promise, answer, deadlineMs));
+        int number = driver.handle(request.withSendRecord(promise), answer -> answered(promise, answer, deadlineMs));
         promise.number = number;
         first.number = number;
         if (inHand.get(identity) == promise) {
@@ -417,21 +417,21 @@
     }
 
     @Override
-    public void arrived(int number) {
-        driver.arrived(number); // long ones are not on record and keep their numbers
+    public void bodyCompleted(int number) {
+        driver.bodyCompleted(number); // long ones are not on record and keep their numbers
     }
 
     @Override
-    public void clientLeft(int number) {
+    public void cancel(int number) {
         Promise promise = byNumber.remove(number);
         if (promise == null) {
-            driver.clientLeft(number);
+            driver.cancel(number);
             return;
         }
         promise.waiters.stream().filter(waiter -> waiter.number == number).forEach(Waiter::leave);
         if (promise.waiters.stream().allMatch(waiter -> waiter.over)
                 && !promise.settled) { // else another one waits for the same
-            driver.clientLeft(promise.number);
+            driver.cancel(promise.number);
             promise.settled = true;
             end(promise, promise.out == 0);
         }
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -223,7 +223,7 @@
      * read yet: it came before the request, and would be taken for the request's own.
      */
     private void write(UpstreamConnection connection, UpstreamAttempt attempt) {
-        if (!attempt.request.client().confirmed()) {
+        if (!attempt.request.client().verifyClientPresent()) {
             loop.schedule(() -> writeIfWanted(connection, attempt), CONFIRM_MS, TimeUnit.MILLISECONDS);
             return;
         }
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -121,7 +121,7 @@
         private boolean recorded;
 
         @Override
-        public boolean recorded() {
+        public boolean isRecorded() {
             return recorded;
         }
 
@@ -134,12 +134,12 @@
         }
 
         @Override
-        public void sending() {
+        public void attemptStarted() {
             // It is out.
         }
 
         @Override
-        public void ended(boolean proved) {
+        public void attemptEnded(boolean proved) {
             // It is known.
         }
 
@@ -153,13 +153,13 @@
     void whatWaitsForItsRecordIsNotSentOnceItsClientHasLeft() throws Exception {
         HeldRecord record = new HeldRecord();
         int id = onLoop(() -> {
-            int number = dispatcher.request(request(6000).withSendRecord(record), answer -> {});
+            int number = dispatcher.handle(request(6000).withSendRecord(record), answer -> {});
             actions.send(number, 0, 0);
             return number;
         });
         Runnable written = record.asks.get(5, TimeUnit.SECONDS);
         onLoop(() -> {
-            dispatcher.clientLeft(id);
+            dispatcher.cancel(id);
             return null;
         });
         assertEquals(Outcome.NOT_SENT, ends.poll(5, TimeUnit.SECONDS).outcome());
@@ -175,7 +175,7 @@
     @Test
     void anAttemptAtANodeThatIsForgottenEndsAtOnceAsNotSent() throws Exception {
         onLoop(() -> {
-            actions.send(dispatcher.request(request(6000), answer -> {}), NOBODY, 0);
+            actions.send(dispatcher.handle(request(6000), answer -> {}), NOBODY, 0);
             return null;
         });
         AttemptEnd end = ends.poll(5, TimeUnit.SECONDS);
@@ -192,7 +192,7 @@
         onLoop(() -> {
             ClientRequest request = request(60);
             fromMs[0] = request.arrivedMs();
-            dispatcher.request(request, answer -> answered.complete(clock.nowMs()));
+            dispatcher.handle(request, answer -> answered.complete(clock.nowMs()));
             return null;
         });
         Request told = asked.poll(5, TimeUnit.SECONDS);
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/OnRecordTest.java
@@ -146,22 +146,22 @@
         }
 
         @Override
-        public boolean isOpen(String callId) {
+        public boolean isInFlight(String callId) {
             return false;
         }
 
         @Override
-        public int request(ClientRequest request, Consumer<Answer> client) {
+        public int handle(ClientRequest request, Consumer<Answer> client) {
             requests.add(request);
             clients.add(client);
             return requests.size();
         }
 
         @Override
-        public void arrived(int number) {}
+        public void bodyCompleted(int number) {}
 
         @Override
-        public void clientLeft(int number) {
+        public void cancel(int number) {
             // The test says itself what becomes of it.
         }
     }
@@ -213,7 +213,7 @@
     }
 
     private void ask(String event, double budgetMs) throws Exception {
-        onLoop(() -> keeper.request(
+        onLoop(() -> keeper.handle(
                 new ClientRequest(
                         HttpMethod.POST,
                         "/submit",
@@ -254,7 +254,7 @@
                     .sendRecord()
                     .record(
                             () -> {
-                                driver.requests.get(request).sendRecord().sending();
+                                driver.requests.get(request).sendRecord().attemptStarted();
                                 out.countDown();
                             },
                             () -> driver.clients.get(request).accept(Answer.refused(100)));
