--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -676,7 +676,7 @@
     /** Closes the connection, unless a request on it would lose its answer; {@code broken}: none can be given any more. */
     private void close(boolean broken) {
         boolean unanswered = current != null && current.request() != null && writing == null || !waiting.isEmpty();
-        if (!server.guard().closing(unanswered && !closing, broken).isAllowed()) {
+        if (!server.guard().checkClose(unanswered && !closing, broken).isAllowed()) {
             return;
         }
         if (!broken && hasUnwrittenAnswer()) {
--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -108,7 +108,7 @@
 
             @Override
             public Verdict mayBeWritten(double toldMs) {
-                return guard.sending(transmission(exchange, node, number, toldMs));
+                return guard.checkSend(transmission(exchange, node, number, toldMs));
             }
 
             @Override
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -506,7 +506,7 @@
     }
 
     private ChannelFuture listen() {
-        if (!guard.starting(timing.asked() || discoveryAsked).isAllowed()) {
+        if (!guard.checkStart(timing.asked() || discoveryAsked).isAllowed()) {
             throw new IllegalStateException("clients are not served before discovery was asked");
         }
         return server.listen(
@@ -544,7 +544,7 @@
         Second second = tally.end(nowMs, Math.max(0, nowMs - tallyDueMs));
         tallyDueMs = Math.max(tallyDueMs + TALLY_MS, nowMs);
         if (second != null) {
-            log.line(second.line() + " violations=" + guard.takeViolations() + (peers == null ? "" : peers.tally()));
+            log.line(second.line() + " violations=" + guard.takeNewViolations() + (peers == null ? "" : peers.tally()));
         }
     }
 
--- a/src/main/java/ivybank/invariants/InvariantGuard.java
+++ b/src/main/java/ivybank/invariants/InvariantGuard.java
@@ -23,11 +23,11 @@
      */
     public record Transmission(
             boolean nodeReady,
-            boolean requestOver,
-            boolean listLapsed,
-            double toldMs,
-            double clientLeftMs,
-            double leastLeftMs,
+            boolean requestCompleted,
+            boolean listExpired,
+            double nodeBudgetMs,
+            double maxClientRemainingMs,
+            double minClientRemainingMs,
             Repeat repeat) {}
 
     /** Slack of what a node may be told over what the client has left. */
@@ -46,7 +46,7 @@
     }
 
     /** Whether an attempt may be written now. */
-    public Verdict sending(Transmission attempt) {
+    public Verdict checkSend(Transmission attempt) {
         return judged(verdict(attempt), "sending");
     }
 
@@ -54,16 +54,16 @@
         if (!attempt.nodeReady) {
             return Verdict.NODE_LEFT;
         }
-        if (attempt.requestOver) {
+        if (attempt.requestCompleted) {
             return Verdict.REQUEST_OVER;
         }
-        if (attempt.listLapsed) {
+        if (attempt.listExpired) {
             return Verdict.LIST_LAPSED;
         }
-        if (attempt.clientLeftMs <= 0) {
+        if (attempt.maxClientRemainingMs <= 0) {
             return Verdict.OUT_OF_TIME;
         }
-        if (attempt.toldMs > Math.max(LEAST_TOLD_MS, attempt.leastLeftMs + TOLD_SLACK_MS)) {
+        if (attempt.nodeBudgetMs > Math.max(LEAST_TOLD_MS, attempt.minClientRemainingMs + TOLD_SLACK_MS)) {
             return Verdict.TOO_MUCH_TIME_TOLD;
         }
         return switch (attempt.repeat) {
@@ -79,7 +79,7 @@
      * @param unanswered whether a request that was read on it has no answer yet
      * @param broken whether nothing can be answered on it any more: its client has left, takes nothing, or was cut off
      */
-    public Verdict closing(boolean unanswered, boolean broken) {
+    public Verdict checkClose(boolean unanswered, boolean broken) {
         return judged(unanswered && !broken ? Verdict.UNANSWERED : Verdict.ALLOWED, "closing");
     }
 
@@ -88,7 +88,7 @@
      *
      * @param asked whether discovery was asked, and has answered or is known not to
      */
-    public Verdict starting(boolean asked) {
+    public Verdict checkStart(boolean asked) {
         return judged(asked ? Verdict.ALLOWED : Verdict.NOT_ASKED, "starting");
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** How often something against the rules was kept from happening since this was asked last. */
-    public long takeViolations() {
+    public long takeNewViolations() {
         long fresh = violations - violationsTold;
         violationsTold = violations;
         return fresh;
--- a/src/test/java/ivybank/invariants/GuardPathsTest.java
+++ b/src/test/java/ivybank/invariants/GuardPathsTest.java
@@ -76,7 +76,7 @@
         assertEquals(Set.of("AttemptSender.send"), callers(unit -> true, "UpstreamAttempt", "<init>"));
         assertEquals(
                 Set.of("AttemptSender"),
-                callers(unit -> true, "InvariantGuard", "sending").stream()
+                callers(unit -> true, "InvariantGuard", "checkSend").stream()
                         .map(caller -> caller.replaceAll("\\..*", ""))
                         .map(type -> type.isEmpty() ? "AttemptSender" : type)
                         .collect(Collectors.toSet()));
@@ -90,13 +90,13 @@
         }
         assertEquals(
                 Set.of("ClientAcceptor.close", "ClientConnection.close", "ClientConnection.exceptionCaught"), closers);
-        assertEquals(Set.of("ClientConnection.close"), callers(unit -> true, "InvariantGuard", "closing"));
+        assertEquals(Set.of("ClientConnection.close"), callers(unit -> true, "InvariantGuard", "checkClose"));
     }
 
     @Test
     void clientsAreServedOnlyBehindTheGuard() {
         assertEquals(Set.of("Sidecar.listen", "Warmup.begin"), callers(unit -> true, "ClientServer", "listen"));
-        assertEquals(Set.of("Sidecar.listen"), callers(unit -> true, "InvariantGuard", "starting"));
+        assertEquals(Set.of("Sidecar.listen"), callers(unit -> true, "InvariantGuard", "checkStart"));
         Set<String> binders = new TreeSet<>(callers(unit -> true, "ServerBootstrap", "bind"));
         binders.addAll(callers(unit -> true, "ServerBootstrap", "register"));
         assertEquals(Set.of("AdminEndpoint.open", "ClientAcceptor.open", "Warmup.begin"), binders);
--- a/src/test/java/ivybank/invariants/InvariantGuardTest.java
+++ b/src/test/java/ivybank/invariants/InvariantGuardTest.java
@@ -21,37 +21,37 @@
 
     @Test
     void whatTheRulesAllowIsSentAndNothingIsCounted() {
-        assertEquals(Verdict.ALLOWED, guard.sending(attempt(true, false, false, 500, 500, 400, Repeat.HARMLESS)));
-        assertEquals(Verdict.ALLOWED, guard.sending(attempt(true, false, false, 1, 200, -500, Repeat.HARMLESS)));
-        assertEquals(Verdict.ALLOWED, guard.closing(false, false));
-        assertEquals(Verdict.ALLOWED, guard.closing(true, true));
-        assertEquals(Verdict.ALLOWED, guard.starting(true));
-        assertEquals(0, guard.takeViolations());
+        assertEquals(Verdict.ALLOWED, guard.checkSend(attempt(true, false, false, 500, 500, 400, Repeat.HARMLESS)));
+        assertEquals(Verdict.ALLOWED, guard.checkSend(attempt(true, false, false, 1, 200, -500, Repeat.HARMLESS)));
+        assertEquals(Verdict.ALLOWED, guard.checkClose(false, false));
+        assertEquals(Verdict.ALLOWED, guard.checkClose(true, true));
+        assertEquals(Verdict.ALLOWED, guard.checkStart(true));
+        assertEquals(0, guard.takeNewViolations());
         assertEquals(Map.of(), guard.denied());
     }
 
     @Test
     void whatTimeHasTakenAwayIsDeniedAndIsNoViolation() {
-        assertEquals(Verdict.LIST_LAPSED, guard.sending(attempt(true, false, true, 500, 500, 500, Repeat.HARMLESS)));
-        assertEquals(Verdict.OUT_OF_TIME, guard.sending(attempt(true, false, false, 1, 0, 0, Repeat.HARMLESS)));
+        assertEquals(Verdict.LIST_LAPSED, guard.checkSend(attempt(true, false, true, 500, 500, 500, Repeat.HARMLESS)));
+        assertEquals(Verdict.OUT_OF_TIME, guard.checkSend(attempt(true, false, false, 1, 0, 0, Repeat.HARMLESS)));
         assertEquals(
-                Verdict.WINDOW_OVER, guard.sending(attempt(true, false, false, 500, 500, 500, Repeat.WINDOW_OVER)));
-        assertEquals(0, guard.takeViolations());
+                Verdict.WINDOW_OVER, guard.checkSend(attempt(true, false, false, 500, 500, 500, Repeat.WINDOW_OVER)));
+        assertEquals(0, guard.takeNewViolations());
         assertEquals(List.of(), lines);
     }
 
     @Test
     void whatShouldHaveBeenSeenToBeforeIsDeniedCountedAndTold() {
-        assertEquals(Verdict.NODE_LEFT, guard.sending(attempt(false, false, false, 1, 500, 500, Repeat.HARMLESS)));
-        assertEquals(Verdict.REQUEST_OVER, guard.sending(attempt(true, true, false, 1, 500, 500, Repeat.HARMLESS)));
+        assertEquals(Verdict.NODE_LEFT, guard.checkSend(attempt(false, false, false, 1, 500, 500, Repeat.HARMLESS)));
+        assertEquals(Verdict.REQUEST_OVER, guard.checkSend(attempt(true, true, false, 1, 500, 500, Repeat.HARMLESS)));
         assertEquals(
-                Verdict.TOO_MUCH_TIME_TOLD, guard.sending(attempt(true, false, false, 551, 900, 400, Repeat.HARMLESS)));
+                Verdict.TOO_MUCH_TIME_TOLD, guard.checkSend(attempt(true, false, false, 551, 900, 400, Repeat.HARMLESS)));
         assertEquals(
-                Verdict.MAY_RUN_TWICE, guard.sending(attempt(true, false, false, 1, 500, 500, Repeat.MAY_RUN_TWICE)));
-        assertEquals(Verdict.UNANSWERED, guard.closing(true, false));
-        assertEquals(Verdict.NOT_ASKED, guard.starting(false));
-        assertEquals(6, guard.takeViolations());
-        assertEquals(0, guard.takeViolations(), "told once");
+                Verdict.MAY_RUN_TWICE, guard.checkSend(attempt(true, false, false, 1, 500, 500, Repeat.MAY_RUN_TWICE)));
+        assertEquals(Verdict.UNANSWERED, guard.checkClose(true, false));
+        assertEquals(Verdict.NOT_ASKED, guard.checkStart(false));
+        assertEquals(6, guard.takeNewViolations());
+        assertEquals(0, guard.takeNewViolations(), "told once");
         assertEquals(6, lines.size());
     }
 }
