--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -7,7 +7,7 @@
 import ivybank.exchange.SendRecord;
 import ivybank.invariants.InvariantGuard;
 import ivybank.invariants.InvariantGuard.Transmission;
-import ivybank.invariants.Repeat;
+import ivybank.invariants.RepeatRisk;
 import ivybank.invariants.Verdict;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.policy.Balancer.Settings;
@@ -120,7 +120,7 @@
 
     private Transmission transmission(Exchange exchange, Node node, int number, double toldMs) {
         double nowMs = clock.nowMs();
-        List<Repeat.Other> others = IntStream.range(0, exchange.attempts.size())
+        List<RepeatRisk.OtherAttempt> others = IntStream.range(0, exchange.attempts.size())
                 .filter(each -> each != number)
                 .mapToObj(each -> exchange.attempts.get(each).asOther())
                 .toList();
@@ -131,7 +131,7 @@
                 toldMs,
                 exchange.clientLeftMs(nowMs),
                 exchange.leastLeftMs(nowMs),
-                Repeat.of(
+                RepeatRisk.of(
                         settings.classes().get(exchange.request.requestClass()),
                         others,
                         node.zone(),
--- a/src/main/java/ivybank/invariants/InvariantGuard.java
+++ b/src/main/java/ivybank/invariants/InvariantGuard.java
@@ -28,7 +28,7 @@
             double nodeBudgetMs,
             double maxClientRemainingMs,
             double minClientRemainingMs,
-            Repeat repeat) {}
+            RepeatRisk repeat) {}
 
     /** Slack of what a node may be told over what the client has left. */
     private static final double TOLD_SLACK_MS = 150;
@@ -68,7 +68,7 @@
         }
         return switch (attempt.repeat) {
             case HARMLESS -> Verdict.ALLOWED;
-            case WINDOW_OVER -> Verdict.WINDOW_OVER;
+            case WINDOW_EXPIRED -> Verdict.WINDOW_OVER;
             case MAY_RUN_TWICE -> Verdict.MAY_RUN_TWICE;
         };
     }
--- a/src/main/java/ivybank/invariants/Repeat.java
+++ b/src/main/java/ivybank/invariants/RepeatRisk.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /** What an attempt of a request means beside its others. */
-public enum Repeat {
+public enum RepeatRisk {
     /** It is the first that can run, or a second run does no harm. */
     HARMLESS,
     /** One of a key that the nodes may have forgotten by now. */
-    WINDOW_OVER,
+    WINDOW_EXPIRED,
     /** One that must not run twice and may have run, or one of a key outside the nodes that know of it. */
     MAY_RUN_TWICE;
 
@@ -22,19 +22,19 @@
      * @param cell where it was sent
      * @param writtenMs when, in milliseconds; infinite where nothing of it was written
      */
-    public record Other(boolean mayHaveRun, String zone, int cell, double writtenMs) {}
+    public record OtherAttempt(boolean mayHaveRun, String zone, int cell, double writtenMs) {}
 
     /**
      * Judges an attempt that would be written now to a node of this zone and cell.
      *
      * @param nowMs in milliseconds
      */
-    public static Repeat of(RequestClass spec, List<Other> others, String zone, int cell, double nowMs) {
+    public static RepeatRisk of(RequestClass spec, List<OtherAttempt> others, String zone, int cell, double nowMs) {
         if (spec.effect() == Effect.SAFE) {
             return HARMLESS;
         }
         double firstMs = Double.POSITIVE_INFINITY;
-        for (Other attempt : others) {
+        for (OtherAttempt attempt : others) {
             if (!attempt.mayHaveRun) {
                 continue;
             }
@@ -43,10 +43,10 @@
             }
             firstMs = Math.min(firstMs, attempt.writtenMs);
         }
-        return nowMs - firstMs >= spec.windowMs() ? WINDOW_OVER : HARMLESS;
+        return nowMs - firstMs >= spec.windowMs() ? WINDOW_EXPIRED : HARMLESS;
     }
 
-    private static boolean isOneGroup(Group group, Other attempt, String zone, int cell) {
+    private static boolean isOneGroup(Group group, OtherAttempt attempt, String zone, int cell) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> attempt.zone.equals(zone);
--- a/src/main/java/ivybank/upstream/UpstreamAttempt.java
+++ b/src/main/java/ivybank/upstream/UpstreamAttempt.java
@@ -4,7 +4,7 @@
 import ivybank.discovery.Node;
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
-import ivybank.invariants.Repeat;
+import ivybank.invariants.RepeatRisk;
 import ivybank.invariants.Verdict;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.tally.Stage;
@@ -129,10 +129,10 @@
     }
 
     /** What another attempt of the same request has to know of it. */
-    public Repeat.Other asOther() {
+    public RepeatRisk.OtherAttempt asOther() {
         boolean written = writtenMs < Double.POSITIVE_INFINITY;
         boolean provedNotRun = outcome != null && outcome.provesNotRun();
-        return new Repeat.Other(written && !provedNotRun, node.zone(), node.cell(), writtenMs);
+        return new RepeatRisk.OtherAttempt(written && !provedNotRun, node.zone(), node.cell(), writtenMs);
     }
 
     /** Stops waiting: called off, or out of time. */
--- a/src/test/java/ivybank/rehearsal/MutantsTest.java
+++ b/src/test/java/ivybank/rehearsal/MutantsTest.java
@@ -197,7 +197,7 @@
                                     "if (spec.effect() != null) {"),
                             // The guard would keep it from being sent.
                             new Edit(
-                                    "invariants/Repeat.java",
+                                    "invariants/RepeatRisk.java",
                                     "if (spec.effect() == Effect.SAFE) {",
                                     "if (spec.effect() != Effect.UNSAFE) {"))),
             new Mutant(
