--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -17,7 +17,7 @@
 import ivybank.policy.Balancer.Effect;
 import ivybank.policy.Balancer.RequestClass;
 import ivybank.policy.Balancer.Settings;
-import ivybank.supervision.Chain;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.PeriodicTask;
 import java.net.SocketAddress;
 import java.util.Comparator;
@@ -139,7 +139,7 @@
     }
 
     /** Begins to look after connections and the listener; returns what does so. */
-    public List<Chain> startSweeps(EventLoop eventLoop) {
+    public List<SupervisedTask> startSweeps(EventLoop eventLoop) {
         return List.of(
                 PeriodicTask.start("sweep of the client's connections", eventLoop, clock, log, SWEEP_MS, this::sweep),
                 PeriodicTask.start(
--- a/src/main/java/ivybank/daemon/ConfigReload.java
+++ b/src/main/java/ivybank/daemon/ConfigReload.java
@@ -4,7 +4,7 @@
 import io.netty.util.NetUtil;
 import ivybank.common.Clock;
 import ivybank.common.Log;
-import ivybank.supervision.Chain;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.EventLoopTasks;
 import java.net.InetSocketAddress;
 import java.util.Locale;
@@ -16,7 +16,7 @@
  * the sidecar runs. A file that can't be read is tried again, ever more rarely, until it can or another signal comes. On the
  * event loop, so that the last signal takes the newest text.
  */
-final class ConfigReload implements Chain {
+final class ConfigReload implements SupervisedTask {
 
     private enum State {
         IDLE,
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -7,7 +7,7 @@
 import ivybank.common.Log;
 import ivybank.handover.Memory;
 import ivybank.handover.MemoryFiles;
-import ivybank.supervision.Chain;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
 import java.io.IOException;
@@ -87,7 +87,7 @@
         });
     }
 
-    Chain start() {
+    SupervisedTask start() {
         round(); // before the first connection is accepted
         return PeriodicTask.start("handover", thread, clock, log, TOGETHER_MS, this::round);
     }
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -34,7 +34,7 @@
 import ivybank.peers.PeerFleet;
 import ivybank.policy.LoadShiftingBalancer;
 import ivybank.promises.PromiseKeeper;
-import ivybank.supervision.Chain;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
 import ivybank.supervision.StartRetry;
@@ -297,7 +297,7 @@
     private void among(PeerFleet fleet, boolean later) throws IOException {
         successor = later;
         // An upgrade has two processes at one address for a while.
-        Chain ticks = StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
+        SupervisedTask ticks = StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
         EventLoopTasks.execute(loop, () -> watchdog.watch(ticks));
         peers = fleet;
     }
@@ -327,7 +327,7 @@
         next.takeOver();
         handover = next;
         next.company(company);
-        Chain rounds = next.start();
+        SupervisedTask rounds = next.start();
         EventLoopTasks.execute(loop, () -> watchdog.watch(rounds));
     }
 
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpClientCodec;
 import ivybank.common.Clock;
 import ivybank.common.Log;
-import ivybank.supervision.Chain;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.OutboundConnection;
 import ivybank.tally.Tally;
 import java.io.IOException;
@@ -32,7 +32,7 @@
  * <p>It owns the chain of calls: there is always one under way or a pause before the next, each with a time by which it must
  * have ended, and a {@link ivybank.supervision.Watchdog} that begins the next one where it has not.
  */
-public final class Discovery implements Chain, DiscoveryCall.Owner {
+public final class Discovery implements SupervisedTask, DiscoveryCall.Owner {
 
     /** What the chain of calls is doing. */
     private enum State {
--- a/src/main/java/ivybank/peers/PeerFleet.java
+++ b/src/main/java/ivybank/peers/PeerFleet.java
@@ -14,7 +14,7 @@
 import ivybank.fleet.Message;
 import ivybank.fleet.MessageCodec;
 import ivybank.fleet.ViewSnapshot;
-import ivybank.supervision.Chain;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.PeriodicTask;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -109,7 +109,7 @@
     }
 
     /** Listens, and begins to look for others; returns what does so. Not called on the event loop. */
-    public Chain open(boolean shared) throws IOException {
+    public SupervisedTask open(boolean shared) throws IOException {
         socket.open(listen, shared, (memberIndex, message) -> view.receive(clock.nowMs(), memberIndex, message));
         loop.execute(() -> view.start(clock.nowMs()));
         long tickMs = (long) FleetTiming.STANDARD.tickMs();
--- a/src/main/java/ivybank/supervision/OutboundConnection.java
+++ b/src/main/java/ivybank/supervision/OutboundConnection.java
@@ -97,12 +97,12 @@
     }
 
     /** Whether its end has been told. */
-    public boolean isOver() {
+    public boolean isClosed() {
         return state == State.OVER;
     }
 
     /** Whether it was up and its channel has ended, although that was not told. */
-    public boolean hasEndedUntold() {
+    public boolean hasClosedUnreported() {
         return state == State.UP && !channel.isOpen();
     }
 
--- a/src/main/java/ivybank/supervision/PeriodicTask.java
+++ b/src/main/java/ivybank/supervision/PeriodicTask.java
@@ -9,7 +9,7 @@
  * Runs a step again and again, whatever becomes of a run: one that throws is logged, and the next one comes all the same. With
  * a {@link Watchdog} a run whose timer is lost is made up for too. Its runs are on one thread; it may be asked on another.
  */
-public final class PeriodicTask implements Chain {
+public final class PeriodicTask implements SupervisedTask {
 
     /** A run counts as lost so many periods after it was due, and at least so many milliseconds. */
     private static final double LOST_PERIODS = 3;
--- a/src/main/java/ivybank/supervision/Chain.java
+++ b/src/main/java/ivybank/supervision/SupervisedTask.java
@@ -5,7 +5,7 @@
  * state that it is in and by when that state must have ended. Times are in milliseconds of the process's monotonic clock. Used
  * on the owner's event loop alone.
  */
-public interface Chain {
+public interface SupervisedTask {
 
     /** The due time of a chain that waits for nothing. */
     double NEVER = Double.POSITIVE_INFINITY;
--- a/src/main/java/ivybank/supervision/Watchdog.java
+++ b/src/main/java/ivybank/supervision/Watchdog.java
@@ -21,8 +21,8 @@
     private final ScheduledExecutorService executor;
     private final Clock clock;
     private final Log log;
-    private final List<Chain> chains = new ArrayList<>();
-    private double nextCheckMs = Chain.NEVER;
+    private final List<SupervisedTask> chains = new ArrayList<>();
+    private double nextCheckMs = SupervisedTask.NEVER;
     /** Which timer counts: one that was replaced and comes after all does nothing. */
     private int timer;
 
@@ -33,7 +33,7 @@
     }
 
     /** From now on restarts this chain when it is overdue. */
-    public void watch(Chain chain) {
+    public void watch(SupervisedTask chain) {
         chains.add(chain);
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    private void check(Chain chain) {
+    private void check(SupervisedTask chain) {
         try {
             double overdueMs = clock.nowMs() - chain.dueMs();
             if (overdueMs > 0) {
--- a/src/main/java/ivybank/upstream/ConnectionOpener.java
+++ b/src/main/java/ivybank/upstream/ConnectionOpener.java
@@ -139,7 +139,7 @@
         /** Whether its end has come, or should have, and nobody was told. */
         boolean isLost(double nowMs) {
             boolean overdue = !up && nowMs - begunMs > limits.connectTimeoutMs() + OVERDUE_MS;
-            return overdue || connection != null && connection.hasEndedUntold();
+            return overdue || connection != null && connection.hasClosedUnreported();
         }
     }
 
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -9,7 +9,7 @@
 import ivybank.common.NextSelect;
 import ivybank.discovery.Node;
 import ivybank.policy.Balancer.Outcome;
-import ivybank.supervision.Chain;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.PeriodicTask;
 import ivybank.tally.Stage;
 import ivybank.tally.Tally;
@@ -107,7 +107,7 @@
     }
 
     /** What closes idle connections, finds lost ones, and looks after those of which nothing is told. */
-    public List<Chain> chains() {
+    public List<SupervisedTask> chains() {
         return List.of(sweep, verification);
     }
 
--- a/src/test/java/ivybank/supervision/SupervisionTest.java
+++ b/src/test/java/ivybank/supervision/SupervisionTest.java
@@ -43,7 +43,7 @@
     }
 
     /** A chain that is overdue until it is started again, and fails to be started the first times. */
-    private final class LostChain implements Chain {
+    private final class LostChain implements SupervisedTask {
         final AtomicInteger tries = new AtomicInteger();
         final CountDownLatch restarted = new CountDownLatch(1);
         private volatile double dueMs = clock.nowMs();
@@ -85,7 +85,7 @@
         });
         assertTrue(runs.await(10, TimeUnit.SECONDS));
         task.stop();
-        assertEquals(Chain.NEVER, task.dueMs());
+        assertEquals(SupervisedTask.NEVER, task.dueMs());
     }
 
     @Test
@@ -134,7 +134,7 @@
                     .get();
             assertEquals("failed true true", told.poll(10, TimeUnit.SECONDS));
             loop.submit(() -> connection.abandon("again")).get();
-            assertTrue(connection.isOver());
+            assertTrue(connection.isClosed());
             assertEquals(0, told.size());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(5, TimeUnit.SECONDS);
