--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -35,7 +35,7 @@
      * Up to how many client connections none is closed early, up to how many requests are served, and how many are
      * accepted to be told otherwise; and how many the client has for requests in hand, all processes of the sidecar together.
      */
-    public record Limits(int comfortable, int served, int accepted, int forRequests) {}
+    public record Limits(int evictionThreshold, int maxServed, int maxAccepted, int requestConnections) {}
 
     private static final long SWEEP_MS = 100;
     /** Well within the time after which nothing may be sent for a client that has left. */
@@ -77,7 +77,7 @@
     private boolean draining;
     private boolean refusing;
     private boolean crowded;
-    private long evicted;
+    private long evictedConnections;
     /** The part of the connections that are used again, as seen lately. */
     private double reuse = 1;
 
@@ -86,7 +86,7 @@
     private int elsewhere;
 
     private boolean company;
-    private long turnedAway;
+    private long refusedRequests;
     private long verifications;
     /** What waits on all connections, in bytes. */
     private long held;
@@ -153,7 +153,7 @@
     }
 
     /** From now on tells these of each connection that is accepted. */
-    public void mind(List<EventLoopStallDetector> loops) {
+    public void setStallDetectors(List<EventLoopStallDetector> loops) {
         stallDetectors = loops;
     }
 
@@ -196,7 +196,7 @@
         }
         descriptors.release();
         acceptor.adjust();
-        if (crowded && connections.size() <= limits.served() / 2) {
+        if (crowded && connections.size() <= limits.maxServed() / 2) {
             crowded = false;
             log.line("the client has " + connections.size() + " connections open: it is no longer crowded");
         }
@@ -204,7 +204,7 @@
 
     /** How many more connections may be accepted. */
     private int room() {
-        return Math.min(limits.accepted() - connections.size(), descriptors.available());
+        return Math.min(limits.maxAccepted() - connections.size(), descriptors.available());
     }
 
     /**
@@ -215,11 +215,11 @@
     private void evict(int most) {
         double nowMs = clock.nowMs();
         int tooMany =
-                ending ? 0 : descriptors.isExhausted() ? most : Math.min(most, connections.size() - limits.comfortable());
+                ending ? 0 : descriptors.isExhausted() ? most : Math.min(most, connections.size() - limits.evictionThreshold());
         evict(tooMany, connection -> connection.isSpare(nowMs));
         if (!ending && !reuses()) {
             evict(
-                    Math.min(most, connections.size() - limits.comfortable() / 2),
+                    Math.min(most, connections.size() - limits.evictionThreshold() / 2),
                     connection -> connection.isJunk(nowMs));
         }
     }
@@ -238,7 +238,7 @@
     private void evict(ClientConnection connection) {
         boolean once = connection.askedOnce();
         connection.retire(() -> {
-            evicted++;
+            evictedConnections++;
             reuse -= once ? reuse * REUSE_STEP : 0;
         });
     }
@@ -258,7 +258,7 @@
      * Some are left open, to see whether that still holds.
      */
     boolean closesAtOnce() {
-        return !ending && !reuses() && connections.size() > limits.comfortable() / 2 && ++closeable % LEFT_OPEN != 0;
+        return !ending && !reuses() && connections.size() > limits.evictionThreshold() / 2 && ++closeable % LEFT_OPEN != 0;
     }
 
     /** Whether so many bytes more may wait. */
@@ -272,11 +272,11 @@
 
     /** A request is refused that came while too many waited. */
     void tooMany() {
-        turnedAway++;
+        refusedRequests++;
     }
 
     /** From now on asks this before connections are closed. Before the first is accepted. */
-    public void heeds(InvariantGuard invariants) {
+    public void setGuard(InvariantGuard invariants) {
         guard = invariants;
     }
 
@@ -327,13 +327,13 @@
     }
 
     /** Requests refused so far for want of descriptors, or of connections that the client could still open. */
-    public long turnedAway() {
-        return turnedAway;
+    public long refusedRequests() {
+        return refusedRequests;
     }
 
     /** Connections closed so far because no request came on them. */
-    public long evicted() {
-        return evicted;
+    public long evictedConnections() {
+        return evictedConnections;
     }
 
     /**
@@ -342,24 +342,24 @@
      * once instead, before the module hears of it, and its connection closed.
      */
     boolean overfull() {
-        boolean overfull = refusing || connections.size() > limits.served();
-        turnedAway += overfull ? 1 : 0;
+        boolean overfull = refusing || connections.size() > limits.maxServed();
+        refusedRequests += overfull ? 1 : 0;
         if (overfull && !crowded && !refusing) {
             crowded = true;
             log.line("the client has " + connections.size() + " connections open, " + driver.unanswered()
-                    + " requests in hand: refusing what comes beyond " + limits.served());
+                    + " requests in hand: refusing what comes beyond " + limits.maxServed());
         }
         return overfull;
     }
 
     /** Tells whether another process of the sidecar is here. */
-    public void company(boolean another) {
+    public void setOtherProcessPresent(boolean another) {
         company = another;
         elsewhere = another ? elsewhere : 0;
     }
 
     /** Tells how many requests of the client that one has in hand. */
-    public void elsewhere(int requests) {
+    public void setOtherProcessRequests(int requests) {
         elsewhere = company ? requests : 0;
     }
 
@@ -375,12 +375,12 @@
         if (!ending && !acceptor.isShared()) {
             return false;
         }
-        int all = ending ? connections.size() : limits.forRequests();
+        int all = ending ? connections.size() : limits.requestConnections();
         int inHand = driver.unanswered() + (ending ? 0 : elsewhere);
         // Never all that it has: a client with one connection was refused everything after the signal to end.
         int spare = Math.min(all - 1, (int) Math.ceil(all * (company && !ending ? SPARE_IN_COMPANY : SPARE_PART)));
         boolean last = inHand >= all - spare;
-        turnedAway += last ? 1 : 0;
+        refusedRequests += last ? 1 : 0;
         return last;
     }
 
@@ -394,7 +394,7 @@
     }
 
     /** Sends clients away since this time, Unix time in milliseconds; 0 takes them again. */
-    public void standBy(double sinceMs) {
+    public void setStandbySince(double sinceMs) {
         standbySinceMs = sinceMs;
     }
 
@@ -408,7 +408,7 @@
     }
 
     /** From now on no connection is closed for others' sake: the client gets no new ones. */
-    public void keepConnections() {
+    public void retainConnections() {
         ending = true;
     }
 
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -132,7 +132,7 @@
         toldElsewhere = company;
         EventLoopTasks.execute(loop, () -> {
             dispatcher.elsewhere(out, requests);
-            server.elsewhere(requests);
+            server.setOtherProcessRequests(requests);
             descriptors.setUsedByOtherProcess(heldElsewhere);
         });
     }
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -310,7 +310,7 @@
     @Override
     public void company(boolean another) {
         company = another;
-        loop.execute(() -> server.company(another));
+        loop.execute(() -> server.setOtherProcessPresent(another));
         if (peers != null && (!another || !successor)) { // of two, the one that came later speaks
             loop.execute(() -> peers.hush(another));
         }
@@ -391,7 +391,7 @@
         return CompletableFuture.runAsync(
                 () -> {
                     dispatcher.takeOut(orders.out());
-                    server.standBy(orders.standbySinceMs());
+                    server.setStandbySince(orders.standbySinceMs());
                 },
                 loop);
     }
@@ -399,8 +399,8 @@
     /** Begins to serve clients. On the event loop. */
     private void serve(Promise<Channel> bound) {
         try {
-            server.heeds(guard);
-            server.mind(List.of(beforeSends, ofRequests));
+            server.setGuard(guard);
+            server.setStallDetectors(List.of(beforeSends, ofRequests));
             server.startSweeps(loop).forEach(watchdog::watch);
             listen(bound, 1);
         } catch (RuntimeException e) {
@@ -553,8 +553,8 @@
         if (counts != null) {
             log.line(counts + "; connections: " + server.connections() + " from the client, " + pool.open()
                     + " to upstreams, " + pool.opened() + " opened and " + pool.spoilt() + " spoilt answers so far; "
-                    + server.evicted()
-                    + " of the client's closed as idle and " + server.turnedAway() + " requests refused for want of"
+                    + server.evictedConnections()
+                    + " of the client's closed as idle and " + server.refusedRequests() + " requests refused for want of"
                     + " descriptors or, when ending, of connections so far");
         }
         if (counts != null && promises != null) {
@@ -600,7 +600,7 @@
             drain.after(0, "telling the peers", peers::draining);
         }
         if (inherited == null) {
-            drain.after(0, "keeping connections", server::keepConnections);
+            drain.after(0, "keeping connections", server::retainConnections);
             drain.after(drainTimes.stopListeningMs(), "closing the listener", server::stopListening);
             drain.after(drainTimes.stopServingMs(), "ending connections with their answers", server::drain);
             drain.finishAfter(drainTimes.stopServingMs(), () -> finished(0));
