--- a/src/main/java/ivybank/cli/FleetCommand.java
+++ b/src/main/java/ivybank/cli/FleetCommand.java
@@ -122,7 +122,8 @@
 
     private static JsonNode ask(String door) throws InputException {
         try {
-            return FleetViewClient.fetch((door.contains("://") ? door : "http://" + door).replaceAll("/+$", ""), DOOR_MS);
+            return FleetViewClient.fetch(
+                    (door.contains("://") ? door : "http://" + door).replaceAll("/+$", ""), DOOR_MS);
         } catch (IllegalArgumentException e) {
             throw new InputException(door + ": is no door's address; allowed is http://HOST:PORT");
         }
--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -279,7 +279,8 @@
             mayHaveStood = true; // what is found now may have come long ago
             RetryingSocketChannel.ReadResult found = channel.pollAndRearm();
             notedReading(found);
-            if (found == RetryingSocketChannel.ReadResult.EXHAUSTED || found == RetryingSocketChannel.ReadResult.NOT_READ) {
+            if (found == RetryingSocketChannel.ReadResult.EXHAUSTED
+                    || found == RetryingSocketChannel.ReadResult.NOT_READ) {
                 mayHaveStood = stood; // nothing was found
             }
         }
@@ -407,7 +408,8 @@
             return true;
         }
         boolean open = channel.isActive();
-        RetryingSocketChannel.ReadResult found = open ? channel.readUntilEmpty() : RetryingSocketChannel.ReadResult.NOT_READ;
+        RetryingSocketChannel.ReadResult found =
+                open ? channel.readUntilEmpty() : RetryingSocketChannel.ReadResult.NOT_READ;
         notedReading(found);
         return found != RetryingSocketChannel.ReadResult.FAILED && channel.isActive() == open;
     }
--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -17,8 +17,8 @@
 import ivybank.policy.Balancer.Effect;
 import ivybank.policy.Balancer.RequestClass;
 import ivybank.policy.Balancer.Settings;
-import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.PeriodicTask;
+import ivybank.supervision.SupervisedTask;
 import java.net.SocketAddress;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -214,8 +214,9 @@
      */
     private void evict(int most) {
         double nowMs = clock.nowMs();
-        int tooMany =
-                ending ? 0 : descriptors.isExhausted() ? most : Math.min(most, connections.size() - limits.evictionThreshold());
+        int tooMany = ending
+                ? 0
+                : descriptors.isExhausted() ? most : Math.min(most, connections.size() - limits.evictionThreshold());
         evict(tooMany, connection -> connection.isSpare(nowMs));
         if (!ending && !reuses()) {
             evict(
@@ -258,7 +259,10 @@
      * Some are left open, to see whether that still holds.
      */
     boolean closesAtOnce() {
-        return !ending && !reuses() && connections.size() > limits.evictionThreshold() / 2 && ++closeable % LEFT_OPEN != 0;
+        return !ending
+                && !reuses()
+                && connections.size() > limits.evictionThreshold() / 2
+                && ++closeable % LEFT_OPEN != 0;
     }
 
     /** Whether so many bytes more may wait. */
--- a/src/main/java/ivybank/daemon/Exchange.java
+++ b/src/main/java/ivybank/daemon/Exchange.java
@@ -67,7 +67,8 @@
 
     /** What its client has left at least: a request may have come before it was read. */
     double leastLeftMs(double nowMs) {
-        double byArrivalMs = request.remainingBody() == null ? earliestArrivalMs + request.budgetMs() - nowMs : Double.MAX_VALUE;
+        double byArrivalMs =
+                request.remainingBody() == null ? earliestArrivalMs + request.budgetMs() - nowMs : Double.MAX_VALUE;
         return Math.min(byArrivalMs, clientLeftMs(nowMs));
     }
 
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -34,10 +34,10 @@
 import ivybank.peers.PeerFleet;
 import ivybank.policy.LoadShiftingBalancer;
 import ivybank.promises.PromiseKeeper;
-import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
 import ivybank.supervision.StartRetry;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.Watchdog;
 import ivybank.tally.Second;
 import ivybank.tally.SecondTally;
@@ -297,7 +297,8 @@
     private void among(PeerFleet fleet, boolean later) throws IOException {
         successor = later;
         // An upgrade has two processes at one address for a while.
-        SupervisedTask ticks = StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
+        SupervisedTask ticks =
+                StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
         EventLoopTasks.execute(loop, () -> watchdog.watch(ticks));
         peers = fleet;
     }
@@ -554,7 +555,8 @@
             log.line(counts + "; connections: " + server.connections() + " from the client, " + pool.open()
                     + " to upstreams, " + pool.opened() + " opened and " + pool.spoilt() + " spoilt answers so far; "
                     + server.evictedConnections()
-                    + " of the client's closed as idle and " + server.refusedRequests() + " requests refused for want of"
+                    + " of the client's closed as idle and " + server.refusedRequests()
+                    + " requests refused for want of"
                     + " descriptors or, when ending, of connections so far");
         }
         if (counts != null && promises != null) {
--- a/src/main/java/ivybank/exchange/Answer.java
+++ b/src/main/java/ivybank/exchange/Answer.java
@@ -6,7 +6,8 @@
  * A final answer to the client; {@code retryAfterMs} 0 gives no advice. Of a long one {@code body} is the beginning and
  * {@code rest} what is still to come, else null; {@code length} is that of all, or -1 where only its end will tell.
  */
-public record Answer(int status, String contentType, byte[] body, double retryAfterMs, BodyPipe remainingBody, long contentLength) {
+public record Answer(
+        int status, String contentType, byte[] body, double retryAfterMs, BodyPipe remainingBody, long contentLength) {
 
     private static final byte[] NO_BODY = {};
 
--- a/src/main/java/ivybank/invariants/InvariantGuard.java
+++ b/src/main/java/ivybank/invariants/InvariantGuard.java
@@ -14,11 +14,11 @@
      * An attempt that is about to be written to its node.
      *
      * @param nodeReady whether the list has the node ready
-     * @param requestOver whether the request is answered or its client has left
-     * @param listLapsed whether the list may no longer be gone by
-     * @param toldMs the time that the node is to be told, in milliseconds
-     * @param clientLeftMs the time that the client has left at most, in milliseconds
-     * @param leastLeftMs the time that the client has left at least, in milliseconds
+     * @param requestCompleted whether the request is answered or its client has left
+     * @param listExpired whether the list may no longer be gone by
+     * @param nodeBudgetMs the time that the node is to be told, in milliseconds
+     * @param maxClientRemainingMs the time that the client has left at most, in milliseconds
+     * @param minClientRemainingMs the time that the client has left at least, in milliseconds
      * @param repeat what other attempts of the request mean for this one
      */
     public record Transmission(
--- a/src/main/java/ivybank/promises/PromiseKeeper.java
+++ b/src/main/java/ivybank/promises/PromiseKeeper.java
@@ -288,7 +288,8 @@
             case JOIN -> {
                 return join(inHand.get(identity), request, client);
             }
-            case IN_DOUBT -> client.accept(Answer.failure(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
+            case IN_DOUBT ->
+                client.accept(Answer.failure(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
             case NO_ROOM -> client.accept(Answer.refused(retryAfterMs));
             default -> {
                 return take(identity, request, client);
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -51,7 +51,8 @@
     /** What another process leaves while it has so many requests in hand; until it has been read. */
     private void leave(MemoryFiles other, int inHand) throws Exception {
         for (int i = 0; i < 5; i++) {
-            other.write(new Memory(clock.monotonicMs(), inHand, 10, new Learned<>(1, 0, List.of(), Map.of(), Map.of())));
+            other.write(
+                    new Memory(clock.monotonicMs(), inHand, 10, new Learned<>(1, 0, List.of(), Map.of(), Map.of())));
             Thread.sleep(60);
         }
     }
--- a/src/test/java/ivybank/invariants/InvariantGuardTest.java
+++ b/src/test/java/ivybank/invariants/InvariantGuardTest.java
@@ -15,7 +15,13 @@
     private final InvariantGuard guard = new InvariantGuard(lines::add);
 
     private static Transmission attempt(
-            boolean ready, boolean over, boolean lapsed, double toldMs, double leftMs, double leastMs, RepeatRisk repeat) {
+            boolean ready,
+            boolean over,
+            boolean lapsed,
+            double toldMs,
+            double leftMs,
+            double leastMs,
+            RepeatRisk repeat) {
         return new Transmission(ready, over, lapsed, toldMs, leftMs, leastMs, repeat);
     }
 
@@ -32,22 +38,28 @@
 
     @Test
     void whatTimeHasTakenAwayIsDeniedAndIsNoViolation() {
-        assertEquals(Verdict.LIST_LAPSED, guard.checkSend(attempt(true, false, true, 500, 500, 500, RepeatRisk.HARMLESS)));
+        assertEquals(
+                Verdict.LIST_LAPSED, guard.checkSend(attempt(true, false, true, 500, 500, 500, RepeatRisk.HARMLESS)));
         assertEquals(Verdict.OUT_OF_TIME, guard.checkSend(attempt(true, false, false, 1, 0, 0, RepeatRisk.HARMLESS)));
         assertEquals(
-                Verdict.WINDOW_OVER, guard.checkSend(attempt(true, false, false, 500, 500, 500, RepeatRisk.WINDOW_EXPIRED)));
+                Verdict.WINDOW_OVER,
+                guard.checkSend(attempt(true, false, false, 500, 500, 500, RepeatRisk.WINDOW_EXPIRED)));
         assertEquals(0, guard.takeNewViolations());
         assertEquals(List.of(), lines);
     }
 
     @Test
     void whatShouldHaveBeenSeenToBeforeIsDeniedCountedAndTold() {
-        assertEquals(Verdict.NODE_LEFT, guard.checkSend(attempt(false, false, false, 1, 500, 500, RepeatRisk.HARMLESS)));
-        assertEquals(Verdict.REQUEST_OVER, guard.checkSend(attempt(true, true, false, 1, 500, 500, RepeatRisk.HARMLESS)));
         assertEquals(
-                Verdict.TOO_MUCH_TIME_TOLD, guard.checkSend(attempt(true, false, false, 551, 900, 400, RepeatRisk.HARMLESS)));
+                Verdict.NODE_LEFT, guard.checkSend(attempt(false, false, false, 1, 500, 500, RepeatRisk.HARMLESS)));
+        assertEquals(
+                Verdict.REQUEST_OVER, guard.checkSend(attempt(true, true, false, 1, 500, 500, RepeatRisk.HARMLESS)));
+        assertEquals(
+                Verdict.TOO_MUCH_TIME_TOLD,
+                guard.checkSend(attempt(true, false, false, 551, 900, 400, RepeatRisk.HARMLESS)));
         assertEquals(
-                Verdict.MAY_RUN_TWICE, guard.checkSend(attempt(true, false, false, 1, 500, 500, RepeatRisk.MAY_RUN_TWICE)));
+                Verdict.MAY_RUN_TWICE,
+                guard.checkSend(attempt(true, false, false, 1, 500, 500, RepeatRisk.MAY_RUN_TWICE)));
         assertEquals(Verdict.UNANSWERED, guard.checkClose(true, false));
         assertEquals(Verdict.NOT_ASKED, guard.checkStart(false));
         assertEquals(6, guard.takeNewViolations());
--- a/src/test/java/ivybank/invariants/RepeatRiskTest.java
+++ b/src/test/java/ivybank/invariants/RepeatRiskTest.java
@@ -34,10 +34,14 @@
     @Test
     void aKeyIsRepeatedWithinItsGroupAndWindowOnly() {
         assertEquals(RepeatRisk.HARMLESS, RepeatRisk.of(spec(Effect.KEYED, Group.ALL), List.of(OUT), "b", 2, 1499));
-        assertEquals(RepeatRisk.WINDOW_EXPIRED, RepeatRisk.of(spec(Effect.KEYED, Group.ALL), List.of(OUT), "b", 2, 1500));
+        assertEquals(
+                RepeatRisk.WINDOW_EXPIRED, RepeatRisk.of(spec(Effect.KEYED, Group.ALL), List.of(OUT), "b", 2, 1500));
         assertEquals(RepeatRisk.HARMLESS, RepeatRisk.of(spec(Effect.KEYED, Group.ZONE), List.of(OUT), "a", 2, 1499));
-        assertEquals(RepeatRisk.MAY_RUN_TWICE, RepeatRisk.of(spec(Effect.KEYED, Group.ZONE), List.of(OUT), "b", 1, 1001));
-        assertEquals(RepeatRisk.MAY_RUN_TWICE, RepeatRisk.of(spec(Effect.KEYED, Group.CELL), List.of(OUT), "a", 2, 1001));
-        assertEquals(RepeatRisk.HARMLESS, RepeatRisk.of(spec(Effect.KEYED, Group.ZONE), List.of(NEVER_RAN), "b", 1, 9000));
+        assertEquals(
+                RepeatRisk.MAY_RUN_TWICE, RepeatRisk.of(spec(Effect.KEYED, Group.ZONE), List.of(OUT), "b", 1, 1001));
+        assertEquals(
+                RepeatRisk.MAY_RUN_TWICE, RepeatRisk.of(spec(Effect.KEYED, Group.CELL), List.of(OUT), "a", 2, 1001));
+        assertEquals(
+                RepeatRisk.HARMLESS, RepeatRisk.of(spec(Effect.KEYED, Group.ZONE), List.of(NEVER_RAN), "b", 1, 9000));
     }
 }
