--- a/src/main/java/ivybank/client/Arrival.java
+++ b/src/main/java/ivybank/client/Arrival.java
@@ -3,33 +3,34 @@
 import ivybank.exchange.ClientRequest;
 
 /**
- * A request as it came, or what is owed to one that is not passed on. Two arrivals of equal parts are still two.
+ * A received request, or the status with which one that is not forwarded is answered. Arrivals are compared by reference:
+ * two with equal components are still two.
  *
- * @param request the request, or null where it is not passed on
- * @param status what it is answered with where it is not passed on
- * @param keepAlive whether its connection may go on after the answer
- * @param old whether it came in HTTP/1.0, which has no chunks
+ * @param request the request, or null if it is not forwarded
+ * @param status the status of the answer if it is not forwarded
+ * @param keepAlive whether the connection may be kept open after the answer
+ * @param http10 whether the request is HTTP/1.0, which has no chunked coding
  */
-record Arrival(ClientRequest request, int status, boolean keepAlive, boolean old) {
+record Arrival(ClientRequest request, int status, boolean keepAlive, boolean http10) {
 
-    /** One that is more than may wait. */
-    static final Arrival SURPLUS = new Arrival(null, HttpStatus.UNAVAILABLE, true);
-    /** The last of those that is answered. */
-    static final Arrival LAST_SURPLUS = new Arrival(null, HttpStatus.UNAVAILABLE, false);
+    /** A request beyond the number that may wait; it is refused. */
+    static final Arrival SURPLUS = new Arrival(null, HttpStatus.SERVICE_UNAVAILABLE, true);
+    /** The last such request that is answered; the connection is closed after it. */
+    static final Arrival LAST_SURPLUS = new Arrival(null, HttpStatus.SERVICE_UNAVAILABLE, false);
 
-    /** What a request holds beside its body, in bytes. */
+    /** The estimated size of a request without its body, in bytes. */
     private static final int REQUEST_BYTES = 1024;
 
     Arrival(ClientRequest request, int status, boolean keepAlive) {
         this(request, status, keepAlive, false);
     }
 
-    @SuppressWarnings("ReferenceEquality") // the two are known by what they are, not by their parts
+    @SuppressWarnings("ReferenceEquality") // the two constants are compared by reference
     boolean isSurplus() {
         return this == SURPLUS || this == LAST_SURPLUS;
     }
 
-    /** What it holds while it waits. */
+    /** Returns the memory that the request counts for while it waits, in bytes. */
     long bytes() {
         return (long) REQUEST_BYTES + (request == null ? 0 : request.body().length);
     }
--- a/src/main/java/ivybank/client/BackgroundAccept.java
+++ b/src/main/java/ivybank/client/BackgroundAccept.java
@@ -12,118 +12,127 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts connections on a thread of its own. Guards the event loop: Java's accept asks the system again at once where that reports
- * ECONNABORTED, and comes back only when it reports something else. Used on the event loop, which is told the outcome.
+ * Accepts connections on a separate thread, so that the event loop cannot block: Java's accept retries immediately when the
+ * system reports ECONNABORTED, and returns only when it reports something else. Used on the event loop, which receives the
+ * outcome.
  */
 final class BackgroundAccept {
 
     /**
-     * What one round of accepts brought.
+     * The outcome of one round of accepts.
      *
-     * @param connections those that were accepted
-     * @param failure what ended the round, or null where nobody else waited or enough were accepted
-     * @param somebodyLeft whether somebody may stand in the backlog still
-     * @param tookMs how long it took, in milliseconds
+     * @param connections the accepted connections
+     * @param failure what ended the round, or null if the backlog was found empty or the maximum was reached
+     * @param backlogMayRemain whether clients may still be in the backlog
+     * @param durationMs how long the round took, in milliseconds
      */
-    record Outcome(List<AcceptedConnection> connections, IOException failure, boolean somebodyLeft, double tookMs) {}
+    record Outcome(
+            List<AcceptedConnection> connections, IOException failure, boolean backlogMayRemain, double durationMs) {}
 
-    private static final long IDLE_THREAD_S = 10;
+    private static final long THREAD_IDLE_TIMEOUT_S = 10;
     private static final double NANOS_IN_MS = 1e6;
-    private static final long NOBODY_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long EMPTY_BACKLOG_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     private final ServerSocketChannel listener;
     private final Consumer<Outcome> receiver;
-    private final ThreadPoolExecutor thread;
+    private final ThreadPoolExecutor executor;
     private boolean busy;
-    // Used by the thread alone.
-    /** Since when somebody stands in the backlog whom accepts have not taken, or null. */
+    // Used by the accepting thread alone.
+    /** The time since when clients have been in the backlog that accepts did not take, or null. */
     private Long waitingSinceNanos;
-    /** When an accept has last found nobody, or failed, although somebody was there. */
-    private long leftNanos = System.nanoTime();
+    /** The time of the last round that failed, or that found nothing although a client was known to be waiting. */
+    private long lastInconclusiveNanos = System.nanoTime();
 
-    /** @param receiver takes the outcome of each round, on the event loop */
+    /** @param receiver receives the outcome of each round, on the event loop */
     BackgroundAccept(ServerSocketChannel listener, Consumer<Outcome> receiver) {
         this.listener = listener;
         this.receiver = receiver;
-        thread = new ThreadPoolExecutor(
-                1, 1, IDLE_THREAD_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), BackgroundAccept::daemon);
-        thread.allowCoreThreadTimeOut(true);
+        executor = new ThreadPoolExecutor(
+                1,
+                1,
+                THREAD_IDLE_TIMEOUT_S,
+                TimeUnit.SECONDS,
+                new LinkedBlockingQueue<>(),
+                BackgroundAccept::newDaemonThread);
+        executor.allowCoreThreadTimeOut(true);
     }
 
-    private static Thread daemon(Runnable task) {
+    private static Thread newDaemonThread(Runnable task) {
         Thread thread = new Thread(task, "accept");
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Whether a round goes on. */
+    /** Returns whether a round is running. */
     boolean isBusy() {
         return busy;
     }
 
     /**
-     * Begins a round of up to so many accepts, unless one goes on.
+     * Starts a round of up to {@code max} accepts, unless one is running.
      *
-     * @param expected whether somebody is known to be there: an accept that finds nobody was interrupted then
+     * @param expected whether a client is known to be waiting: an accept that finds none has been interrupted then
      */
-    void begin(EventLoop loop, int most, boolean expected) {
+    void start(EventLoop loop, int max, boolean expected) {
         if (busy) {
             return;
         }
         busy = true;
         try {
-            thread.execute(() -> {
-                Outcome outcome = accept(most, expected);
-                loop.execute(() -> end(outcome));
+            executor.execute(() -> {
+                Outcome outcome = accept(max, expected);
+                loop.execute(() -> complete(outcome));
             });
-        } catch (RuntimeException | Error e) { // no thread can be made for the moment
-            loop.execute(
-                    () -> end(new Outcome(List.of(), new IOException("nothing can be accepted: " + e, e), true, 0)));
+        } catch (RuntimeException | Error e) { // no thread can be created at the moment
+            loop.execute(() -> complete(new Outcome(List.of(), new IOException("accept failed: " + e, e), true, 0)));
         }
     }
 
-    private Outcome accept(int most, boolean expected) {
-        long fromNanos = System.nanoTime();
+    private Outcome accept(int max, boolean expected) {
+        long startNanos = System.nanoTime();
         List<AcceptedConnection> accepted = new ArrayList<>();
         IOException failure = null;
         try {
             for (SocketChannel next = listener.accept(); next != null; next = listener.accept()) {
-                accepted.add(accepted(next, fromNanos));
-                if (accepted.size() >= most) {
+                accepted.add(accepted(next, startNanos));
+                if (accepted.size() >= max) {
                     break;
                 }
             }
         } catch (IOException e) {
             failure = e;
         } catch (RuntimeException | Error e) {
-            failure = new IOException("nothing can be accepted: " + e, e);
+            failure = new IOException("accept failed: " + e, e);
         }
-        boolean left = failure != null || expected && accepted.isEmpty();
-        noteWaiting(accepted.size(), most, left, fromNanos);
-        boolean somebodyLeft = waitingSinceNanos != null || accepted.size() >= most;
-        return new Outcome(accepted, failure, somebodyLeft, (System.nanoTime() - fromNanos) / NANOS_IN_MS);
+        boolean inconclusive = failure != null || expected && accepted.isEmpty();
+        updateWaitingSince(accepted.size(), max, inconclusive, startNanos);
+        boolean backlogMayRemain = waitingSinceNanos != null || accepted.size() >= max;
+        return new Outcome(accepted, failure, backlogMayRemain, (System.nanoTime() - startNanos) / NANOS_IN_MS);
     }
 
-    private AcceptedConnection accepted(SocketChannel socket, long fromNanos) {
+    private AcceptedConnection accepted(SocketChannel socket, long startNanos) {
         long nowNanos = System.nanoTime();
-        long sinceNanos = waitingSinceNanos == null ? fromNanos : waitingSinceNanos;
+        long sinceNanos = waitingSinceNanos == null ? startNanos : waitingSinceNanos;
         return new AcceptedConnection(socket, nowNanos, (nowNanos - sinceNanos) / NANOS_IN_MS);
     }
 
     /**
-     * Java hands back an interrupted accept as one that found nobody. So that shows that nobody waits only where nobody was expected
-     * to, and has not been for a while.
+     * Updates the time since when clients have been waiting. Java reports an interrupted accept like one that finds the
+     * backlog empty. An empty result therefore proves an empty backlog only if no client was expected and the last
+     * inconclusive round is long enough ago.
      */
-    private void noteWaiting(int taken, int most, boolean left, long fromNanos) {
-        if (left) {
-            waitingSinceNanos = waitingSinceNanos == null ? (Long) fromNanos : waitingSinceNanos;
-            leftNanos = fromNanos;
-        } else if (taken > 0 ? taken < most : fromNanos - leftNanos > NOBODY_AFTER_NANOS) {
+    private void updateWaitingSince(int acceptedCount, int max, boolean inconclusive, long startNanos) {
+        if (inconclusive) {
+            waitingSinceNanos = waitingSinceNanos == null ? (Long) startNanos : waitingSinceNanos;
+            lastInconclusiveNanos = startNanos;
+        } else if (acceptedCount > 0
+                ? acceptedCount < max
+                : startNanos - lastInconclusiveNanos > EMPTY_BACKLOG_DELAY_NANOS) {
             waitingSinceNanos = null;
         }
     }
 
-    private void end(Outcome outcome) {
+    private void complete(Outcome outcome) {
         busy = false;
         receiver.accept(outcome);
     }
--- a/src/main/java/ivybank/client/ClientAcceptor.java
+++ b/src/main/java/ivybank/client/ClientAcceptor.java
@@ -15,73 +15,75 @@
 import java.util.function.IntSupplier;
 
 /**
- * Accepts the client's connections: it owns the listening channel, and whether it accepts. An accept that fails is followed by
- * another one a moment later, a listener that has ended by another one, and one of which the selector tells nothing is looked at
- * all the same. On one event loop.
+ * Accepts client connections. It owns the listening channel and decides when it accepts. Failed accepts are retried after a
+ * delay, a listener that has closed unexpectedly is reopened, and a listener for which the selector reports nothing is
+ * polled. Used on one event loop.
  */
 final class ClientAcceptor {
 
-    /** What it does. */
+    /** The state of the acceptor. */
     private enum State {
         STARTING,
         ACCEPTING,
-        /** There is no room for another connection. */
+        /** The maximum number of connections is open. */
         FULL,
         /** An accept has just failed. */
         PAUSING,
-        /** The listening channel has ended by itself; the next one is not there yet. */
+        /** The listening channel closed unexpectedly and is not open again yet. */
         REOPENING,
         STOPPED
     }
 
-    private static final int MOST_AT_ONCE = 16;
-    /** After an accept that failed: the connection that waits is reported again and again until it is taken. */
-    private static final double PAUSE_MS = 10;
-    /** By then the backlog has been taken up. */
-    private static final double HELD_BACK_MS = 500;
-    /** Before the listener closes: so long, up to so often, while somebody comes. */
-    private static final long LAST_PASS_MS = 2;
+    private static final int MAX_ACCEPTS_PER_PASS = 16;
+    /** The delay after a failed accept; without it the selector reports the waiting connection again and again. */
+    private static final double FAILURE_DELAY_MS = 10;
+    /** The time after which connections that had to wait in the backlog have been accepted. */
+    private static final double BACKLOG_DELAY_WINDOW_MS = 500;
+    /** The interval between polls of the backlog, and their maximum number, before the listener closes. */
+    private static final long DRAIN_INTERVAL_MS = 2;
 
-    private static final int MOST_LAST_PASSES = 1000;
-    /** What keeps failing is logged once in so many times. */
-    private static final long LOGGED_FAILURES = 100;
+    private static final int MAX_DRAIN_PASSES = 1000;
+    /** Repeated failures are logged once in this many times. */
+    private static final long FAILURES_PER_LOG_LINE = 100;
 
     private final Clock clock;
     private final Log log;
-    /** How many more connections there is room for. */
-    private final IntSupplier room;
+    /** Supplies the number of further connections that may be accepted. */
+    private final IntSupplier freeCapacity;
 
     private ServerBootstrap bootstrap;
     private SocketAddress address;
     private EventLoop loop;
     private Channel listener;
     private State state = State.STARTING;
-    /** Whether the listening socket is open in other processes too. */
+    /** Whether the listening socket is also open in other processes. */
     private boolean shared;
 
     private double pausedUntilMs;
-    /** When nothing was accepted last, for want of room or after a failure. */
-    private double heldBackMs = Double.NEGATIVE_INFINITY;
+    /** The time at which accepting was last suspended, because the limit was reached or an accept failed. */
+    private double lastDelayMs = Double.NEGATIVE_INFINITY;
 
     private long accepted;
-    private long acceptedAtLastLook;
+    private long acceptedAtLastCheck;
     private long failures;
 
     ClientAcceptor(Clock clock, Log log, IntSupplier room) {
         this.clock = clock;
         this.log = log;
-        this.room = room;
+        this.freeCapacity = room;
     }
 
     /**
-     * Begins to listen; the bootstrap brings the event loop, the kind of channel and its options. An {@code at} of null
-     * means that the channel listens already.
+     * Starts listening.
+     *
+     * @param base provides the channel type and its options
+     * @param listenAddress the address, or null if the channel is already listening
      */
-    ChannelFuture listen(ServerBootstrap base, EventLoop eventLoop, SocketAddress at) {
-        bootstrap = base.handler(new Listening());
+    ChannelFuture listen(ServerBootstrap base, EventLoop eventLoop, SocketAddress listenAddress) {
+        bootstrap = base.handler(new ListenerEvents());
         loop = eventLoop;
-        address = at;
-        shared = at == null;
+        address = listenAddress;
+        shared = listenAddress == null;
         return open();
     }
 
@@ -98,64 +100,65 @@
             state = state == State.STOPPED ? State.STOPPED : State.ACCEPTING;
             adjust();
         } else if (state == State.REOPENING) {
-            failed("the clients' socket can't be opened anew", bound.cause());
+            logFailure("client listener could not be reopened", bound.cause());
         }
     }
 
-    /** Whether the listening socket is open in other processes too. */
+    /** Returns whether the listening socket is also open in other processes. */
     boolean isShared() {
         return shared;
     }
 
-    /** Whether what is accepted now may have stood in the backlog for a while, with all that its client had to say. */
-    boolean heldBackOfLate() {
-        return clock.nowMs() - heldBackMs < HELD_BACK_MS;
+    /** Returns whether connections accepted now may have waited in the backlog, together with what their clients have sent. */
+    boolean recentlyDelayed() {
+        return clock.nowMs() - lastDelayMs < BACKLOG_DELAY_WINDOW_MS;
     }
 
-    /** A connection has been accepted. */
-    void accepted() {
+    /** Counts an accepted connection. */
+    void connectionAccepted() {
         accepted++;
     }
 
     /**
-     * The last resort: what waits in the backlog is taken all the same, and may be too late afterwards. As many are accepted in
-     * a round as there is room for. Guards against those that wait where passes are long: with one in a pass a sidecar that got
-     * a tenth of a core read requests after 2 s; and against the last descriptors: sixteen at once took them, and the event loop
-     * ended on an error that it could not even log for want of one.
+     * Suspends or resumes accepting. Suspending is the last resort: the system still accepts connections into the backlog,
+     * and their requests may be too late when they are read. A pass accepts as many connections as there is capacity for, up
+     * to a limit. With one per pass, a sidecar that got a tenth of a core, where passes are long, read requests after 2 s.
+     * Without regard to the capacity, sixteen at once took the last file descriptors, and the event loop ended on an error
+     * that it could not log for lack of a descriptor.
      */
     void adjust() {
         if (listener == null || state == State.STOPPED || state == State.REOPENING) {
             return;
         }
-        int free = room.getAsInt();
+        int free = freeCapacity.getAsInt();
         boolean pausing = clock.nowMs() < pausedUntilMs;
         state = pausing ? State.PAUSING : free > 0 ? State.ACCEPTING : State.FULL;
-        heldBackMs = state == State.ACCEPTING ? heldBackMs : clock.nowMs();
+        lastDelayMs = state == State.ACCEPTING ? lastDelayMs : clock.nowMs();
         listener.config().setAutoRead(state == State.ACCEPTING);
         if (listener instanceof ClientListenerChannel channel) {
-            channel.mostAtOnce(Math.max(1, Math.min(free, MOST_AT_ONCE)));
+            channel.setMaxAccepts(Math.max(1, Math.min(free, MAX_ACCEPTS_PER_PASS)));
         }
     }
 
-    /** Looks after the listener; to be called again and again. */
-    void look() {
+    /** Reopens or polls the listener if necessary. Must be called periodically. */
+    void check() {
         if (state == State.REOPENING) {
             reopen();
             return;
         }
         adjust();
         if (state == State.ACCEPTING
-                && accepted == acceptedAtLastLook
+                && accepted == acceptedAtLastCheck
                 && listener instanceof ClientListenerChannel channel) {
             channel.poll();
         }
-        acceptedAtLastLook = accepted;
+        acceptedAtLastCheck = accepted;
     }
 
-    /** Somebody was there of whom the selector had told nothing: it is told anew what is waited for. */
+    /** Registers again with the selector, which did not report a waiting connection. */
     private void rearm() {
         if (state == State.STOPPED) {
-            return; // it is asked until it closes
+            return; // it is polled until it closes
         }
         listener.config().setAutoRead(false);
         NextSelect.runAfter(loop, this::adjust);
@@ -163,27 +166,27 @@
 
     private void reopen() {
         if (shared) {
-            return; // what other processes have open can't be opened anew by this one
+            return; // a socket that is open in other processes can't be reopened by this one
         }
         try {
             open();
         } catch (RuntimeException e) {
-            failed("the clients' socket can't be opened anew", e);
+            logFailure("client listener could not be reopened", e);
         }
     }
 
     private void logDelayed(ClientListenerChannel.Delayed delayed) {
-        log.line("a connection of the client that was accepted " + Math.round(delayed.waitedMs()) + " ms ago "
-                + (delayed.used() ? "can be used now" : "is closed: it could not be used"));
+        log.line("client connection accepted " + Math.round(delayed.waitedMs()) + " ms ago "
+                + (delayed.usable() ? "has its channel now" : "is closed: its channel could not be created"));
     }
 
-    private void failed(String what, Throwable cause) {
-        if (failures++ % LOGGED_FAILURES == 0) {
-            log.line(what + ", and is tried again: " + cause);
+    private void logFailure(String what, Throwable cause) {
+        if (failures++ % FAILURES_PER_LOG_LINE == 0) {
+            log.line(what + "; retrying: " + cause);
         }
     }
 
-    /** Accepts nothing more; the listening socket is left as it is where it may be another process's as well. */
+    /** Stops accepting. The listening socket stays open if other processes may share it. */
     void stop() {
         if (state == State.STOPPED) {
             return;
@@ -200,34 +203,37 @@
     }
 
     /**
-     * Closes the listener once nobody stands in the backlog. Guards those that do, with what they have sent: the event loop may
-     * have been held up until just now.
+     * Closes the listener once the backlog is empty, so that clients in it, with the requests that they have sent, are not
+     * reset: the event loop may have been stalled until just now.
      */
     private void close() {
         if (listener instanceof ClientListenerChannel channel) {
-            channel.closeOnceDrained(() -> log.line("the clients' socket closes: nobody stands in its backlog"));
-            closeInTime(channel, MOST_LAST_PASSES);
+            channel.closeOnceDrained(() -> log.line("closing the client listener: its backlog is empty"));
+            closeAfterDraining(channel, MAX_DRAIN_PASSES);
         } else {
             listener.close();
         }
     }
 
-    private void closeInTime(ClientListenerChannel channel, int passes) {
+    private void closeAfterDraining(ClientListenerChannel channel, int passesLeft) {
         if (!channel.isOpen()) {
             return;
         }
-        if ((room.getAsInt() <= 0 || passes == 0) && !channel.isAccepting()) {
-            log.line("the clients' socket closes with no room for who may be there");
+        if ((freeCapacity.getAsInt() <= 0 || passesLeft == 0) && !channel.isAccepting()) {
+            log.line("closing the client listener at the connection limit; its backlog may not be empty");
             channel.close();
-        } else if (passes > 0) {
-            lookAtBacklog(channel);
-            loop.schedule(() -> closeInTime(channel, passes - 1), LAST_PASS_MS, TimeUnit.MILLISECONDS);
+        } else if (passesLeft > 0) {
+            pollBacklog(channel);
+            loop.schedule(() -> closeAfterDraining(channel, passesLeft - 1), DRAIN_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Takes who is there as far as there is room, also where accepts have just paused or the selector was to be told anew. */
-    private void lookAtBacklog(ClientListenerChannel channel) {
-        channel.config().setAutoRead(room.getAsInt() > 0);
+    /**
+     * Accepts waiting connections while there is capacity, even if accepting is paused after a failure or a new selector
+     * registration is pending.
+     */
+    private void pollBacklog(ClientListenerChannel channel) {
+        channel.config().setAutoRead(freeCapacity.getAsInt() > 0);
         channel.poll();
     }
 
@@ -236,19 +242,22 @@
         return state.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Hears of what becomes of the listening channel, before Netty's own answer: that accepts nothing for a second. */
-    private final class Listening extends ChannelInboundHandlerAdapter {
+    /**
+     * Handles events of the listening channel before Netty's default handler, which suspends accepting for a second after a
+     * failure.
+     */
+    private final class ListenerEvents extends ChannelInboundHandlerAdapter {
 
         @Override
         public boolean isSharable() {
-            return true; // it has no state of its own, and each listening channel gets it
+            return true; // it is stateless, and is added to each listening channel
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            if (event == ClientListenerChannel.Event.HELD_BACK) {
-                heldBackMs = clock.nowMs();
-            } else if (event == ClientListenerChannel.Event.FOUND_UNTOLD) {
+            if (event == ClientListenerChannel.Event.ACCEPT_DELAYED) {
+                lastDelayMs = clock.nowMs();
+            } else if (event == ClientListenerChannel.Event.MISSED_BY_SELECTOR) {
                 rearm();
             } else if (event instanceof ClientListenerChannel.Delayed delayed) {
                 logDelayed(delayed);
@@ -258,16 +267,16 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            failed("a connection of the client could not be accepted", cause);
-            pausedUntilMs = clock.nowMs() + PAUSE_MS;
+            logFailure("client connection could not be accepted", cause);
+            pausedUntilMs = clock.nowMs() + FAILURE_DELAY_MS;
             adjust();
-            ctx.executor().schedule(ClientAcceptor.this::adjust, (long) PAUSE_MS + 1, TimeUnit.MILLISECONDS);
+            ctx.executor().schedule(ClientAcceptor.this::adjust, (long) FAILURE_DELAY_MS + 1, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (state != State.STOPPED && state != State.STARTING) {
-                failed("the clients' socket has ended", null);
+                logFailure("client listener closed unexpectedly", null);
                 state = State.REOPENING;
             }
             ctx.fireChannelInactive();
--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -30,286 +30,308 @@
 import java.math.BigDecimal;
 import java.util.concurrent.TimeUnit;
 
-/** One connection from the client: its requests are answered one after another, in the order in which they came. */
-@SuppressWarnings("ReferenceEquality") // two arrivals of equal parts are still two
-final class ClientConnection extends SimpleChannelInboundHandler<RequestReader.Read>
+/** A client's connection. Its requests are answered one after another, in the order in which they arrived. */
+@SuppressWarnings("ReferenceEquality") // two arrivals with equal components are still two
+final class ClientConnection extends SimpleChannelInboundHandler<RequestReader.RequestEvent>
         implements BodyPipe.Source, ClientLink {
 
-    /** How much of a body is read on where nobody takes it, so that the client's end behind it is seen. */
-    private static final long MOST_HELD = 512 * 1024;
-    /** Where a client sends more than is of use: after so many reads, for so long nothing is read. */
-    private static final int READS_AT_ONCE = 64;
-
-    private static final long PAUSE_MS = 5;
-    /** A client that connects has something to ask: by then it has, or it won't. */
-    private static final double LONGEST_MUTE_MS = 2500;
-    /** Where reads fail it may have asked: it is answered with 408 by then, within the 3 s in which who says nothing is told. */
-    private static final double LONGEST_UNREAD_MS = 2800;
-    /** For a head, which a client may take 2 s for; and for a body this many bytes in a ms at least: half of what is slow. */
-    private static final double LONGEST_PARTIAL_MS = 2500;
-
-    private static final double LEAST_BYTES_IN_MS = 32;
-    /** What lies between a connection and its channel where neither accepts nor anything else fails. */
-    private static final double USUAL_ACCEPT_MS = 10;
-    /** For so long a request may be in hand whose client can't be read: its leaving would go unseen. */
-    private static final double LONGEST_BLIND_MS = 60;
-
-    /** A client that takes nothing more of a long answer is given up. */
-    private static final double LONGEST_STALL_MS = 15_000;
-
-    private static final double LONGEST_IDLE_MS = 10_000;
-    /** Where there are many connections, what is of no use for so long goes. */
-    private static final double MUTE_IS_SPARE_MS = 600;
-    /** Since the last bytes of half a request: one that is written slowly goes on, one that is never finished stands. */
-    private static final double PARTIAL_IS_SPARE_MS = 600;
-
-    private static final double IDLE_IS_SPARE_MS = 250;
-    /** Where the client is seen not to use its connections again. */
-    private static final double ASKED_ONCE_IS_SPARE_MS = 50;
+    /** The limit up to which a body is read while nobody consumes it, so that the client's disconnect behind it is noticed. */
+    private static final long MAX_BUFFERED_BODY_BYTES = 512 * 1024;
+    /** After this many reads of input that is discarded, reading pauses for the read delay. */
+    private static final int READS_BEFORE_PAUSE = 64;
+
+    private static final long READ_DELAY_MS = 5;
+    /** The timeout for the first byte of a request on a new connection. */
+    private static final double SILENT_TIMEOUT_MS = 2500;
+    /**
+     * The timeout for a connection on which reads fail and which may carry an unread request: it is answered with 408,
+     * within the 3 s in which a silent client is to be answered.
+     */
+    private static final double UNREADABLE_TIMEOUT_MS = 2800;
+    /**
+     * The timeout for a request head, which a client may take 2 s to send; a body extends it at this minimum rate, half of
+     * what a slow client sends.
+     */
+    private static final double PARTIAL_HEAD_TIMEOUT_MS = 2500;
+
+    private static final double MIN_BODY_BYTES_PER_MS = 32;
+    /** The usual delay between accepting a connection and activating its channel, if nothing fails. */
+    private static final double USUAL_ACCEPT_DELAY_MS = 10;
+    /** The timeout for a request whose connection is unreadable: a disconnect of the client would go unnoticed. */
+    private static final double UNREADABLE_REQUEST_TIMEOUT_MS = 60;
+
+    /** The timeout for a client that stops reading a long answer. */
+    private static final double WRITE_STALL_TIMEOUT_MS = 15_000;
+
+    private static final double IDLE_TIMEOUT_MS = 10_000;
+    /** The time after which a silent connection is surplus and may be closed, if many connections are open. */
+    private static final double SILENT_SURPLUS_MS = 600;
+    /**
+     * The time after which a connection with a partial request is surplus, counted from its last bytes, so that a client
+     * that sends slowly keeps its connection and one that never finishes does not.
+     */
+    private static final double PARTIAL_SURPLUS_MS = 600;
+
+    private static final double IDLE_SURPLUS_MS = 250;
+    /** The time after which a connection that has carried one request is surplus, if clients do not reuse connections. */
+    private static final double SINGLE_USE_SURPLUS_MS = 50;
 
     private final RequestReader reader;
     private final ClientServer server;
-    private final RequestHandler driver;
+    private final RequestHandler handler;
     private final Clock clock;
-    private final WaitingRequests waiting;
+    private final RequestQueue waiting;
     private final ArrivalParser parser;
     private boolean answering;
-    /** Whether the last answer has been written that this connection will bring. */
-    private boolean done;
-    /** Whether the next read waits a while. */
-    private boolean pausing;
-    /** The body that is coming, or null, and what of it nobody has taken yet. */
-    private BodyPipe arriving;
-
-    private long heldBytes;
+    /** Whether the last answer on this connection has been written. */
+    private boolean lastAnswerWritten;
+    /** Whether reading is paused for the read delay. */
+    private boolean readPaused;
+    /** The request body being received, or null; and how much of it is buffered. */
+    private BodyPipe incomingBody;
+
+    private long bufferedBytes;
     private ChannelHandlerContext context;
-    /** Whether what is read next may have come long ago: in the backlog, or while nothing could be read. */
-    private boolean mayHaveStood;
-    /** Since when reads have failed, or NaN. */
-    private double blindSinceMs = Double.NaN;
-    /** Since when what is read next may have stood here: reads failed, or the connection could not be used yet; or NaN. */
-    private double stoodSinceMs = Double.NaN;
-    /** Whether something that was just read is being taken up: what this channel holds has been looked at. */
-    private boolean inRead;
-    /** The request at hand, or null between requests. */
+    /** Whether the next input may have arrived long ago: in the backlog, or while nothing could be read. */
+    private boolean mayBeDelayed;
+    /** The time since when reads have failed, or NaN. */
+    private double unreadableSinceMs = Double.NaN;
+    /**
+     * The earliest time at which the next input may have arrived, if reads failed or the connection could not be used yet;
+     * otherwise NaN.
+     */
+    private double delayedSinceMs = Double.NaN;
+    /** Whether input is being processed, so that what this channel holds has just been read. */
+    private boolean processingRead;
+    /** The request being processed, or null between requests. */
     private Arrival current;
 
     private int currentId;
-    /** Since when the client counts as waiting for this connection to be served. */
+    /** The time since when the client counts as waiting for this connection to be served. */
     private double connectedMs;
-    /** Since when no request has been at hand, by the module's clock. */
+    /** The time since when no request has been in progress, by the module's clock. */
     private double freeSinceMs;
-    /** Whether something has come that can't be read: nothing behind it is. */
-    private boolean ended;
-    /** Whether it is about to be closed as of no use. */
+    /** Whether malformed input was received; nothing behind it is parsed. */
+    private boolean inputEnded;
+    /** Whether the connection is about to be closed as unused. */
     private boolean retiring;
-    /** Reads that brought something, so far. */
-    private long reads;
-    /** Whether half a request has come, and on a connection that has brought others since when. */
+    /** The number of reads that returned data. */
+    private long readCount;
+    /** Whether a partial request has been received, and since when if the connection has carried others before. */
     private boolean partial;
 
     private double partialSinceMs;
     private double lastReadMs;
-    /** Requests that have come whole, or begun to be served. */
+    /** The number of requests that were received, in full or in part if long. */
     private int requests;
-    /** Whether the rest of a long request is wanted now; since when it is not, and for how long it was not before. */
-    private boolean wanted = true;
+    /** Whether the rest of a long request is to be read now; since when it is not, and for how long it was not before. */
+    private boolean bodyDemanded = true;
 
-    private double unwantedSinceMs;
-    private double unwantedMs;
-    /** The rest of the answer that is being written, or null; and since when the client takes none of it, or NaN. */
-    private BodyPipe writing;
+    private double notDemandedSinceMs;
+    private double notDemandedMs;
+    /** The rest of the answer being written, or null; and the time since when the client has not read any of it, or NaN. */
+    private BodyPipe outgoingBody;
 
-    private double stalledSinceMs = Double.NaN;
-    /** Whether it is closed once the request has come that was answered before its end. */
-    private boolean closing;
+    private double writeStalledSinceMs = Double.NaN;
+    /** Whether the connection is closed once the rest of a request has been read that was answered early. */
+    private boolean closeAfterRequest;
 
     ClientConnection(RequestReader reader, ClientServer server, RequestHandler driver, Clock clock) {
         this.reader = reader;
         this.server = server;
-        this.driver = driver;
+        this.handler = driver;
         this.clock = clock;
-        this.waiting = new WaitingRequests(server);
+        this.waiting = new RequestQueue(server);
         this.parser = new ArrivalParser(server, clock, this);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
-        reader.source(this);
+        reader.setSource(this);
         freeSinceMs = clock.nowMs();
         connectedMs = freeSinceMs;
-        mayHaveStood = server.heldBackOfLate();
+        mayBeDelayed = server.recentlyDelayed();
         if (ctx.channel() instanceof ClientSocketChannel channel) {
-            connectedMs = freeSinceMs - channel.accepted().waitedMs();
-            stoodSinceMs = freeSinceMs - channel.accepted().mostWaitedMs();
-            mayHaveStood |= channel.accepted().mostWaitedMs() > USUAL_ACCEPT_MS;
+            connectedMs = freeSinceMs - channel.acceptedConnection().waitedMs();
+            delayedSinceMs = freeSinceMs - channel.acceptedConnection().maxWaitedMs();
+            mayBeDelayed |= channel.acceptedConnection().maxWaitedMs() > USUAL_ACCEPT_DELAY_MS;
         }
-        server.opened(this);
+        server.connectionOpened(this);
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, RequestReader.Read message) {
-        boolean nested = inRead;
-        inRead = true;
+    protected void channelRead0(ChannelHandlerContext ctx, RequestReader.RequestEvent message) {
+        boolean wasProcessing = processingRead;
+        processingRead = true;
         try {
-            take(message);
+            receive(message);
         } finally {
-            inRead = nested;
+            processingRead = wasProcessing;
         }
     }
 
-    private void take(RequestReader.Read message) {
-        if (message == RequestReader.Read.LAST) {
-            arriving = arriving != null && arriving.isComplete() ? null : arriving;
-            held();
-            if (closing) {
+    private void receive(RequestReader.RequestEvent message) {
+        if (message == RequestReader.RequestEvent.BODY_COMPLETE) {
+            incomingBody = incomingBody != null && incomingBody.isComplete() ? null : incomingBody;
+            reportBufferedBytes();
+            if (closeAfterRequest) {
                 close(false);
             } else if (current != null
                     && current.request() != null
                     && current.request().remainingBody() != null) {
-                driver.bodyCompleted(currentId);
+                handler.bodyCompleted(currentId);
             }
             return;
         }
-        ended |= message.head() == null;
+        inputEnded |= message.head() == null;
         if (++requests == 2) {
-            server.reused();
+            server.connectionReused();
         }
-        if (closing) {
+        if (closeAfterRequest) {
             close(false);
-        } else if (ended && isArriving()) {
+        } else if (inputEnded && isRequestIncomplete()) {
             abort(message.status());
         } else {
             enqueue(message);
-            next();
+            processNext();
         }
     }
 
     /**
-     * Guards memory against a client that sends without end and does not wait: the connection is read on, so that its end is
-     * seen at once, and what is more than may wait is not kept but refused in its turn.
+     * Queues a request. To protect memory from a client that sends without waiting for answers, requests beyond the limit
+     * are not kept but refused in order; the connection is still read, so that a disconnect is noticed at once.
      */
-    private void enqueue(RequestReader.Read message) {
-        Arrival arrival = waiting.hasSurplus() ? null : parser.read(message, stoodSinceMs);
-        if (arrival == null || !waiting.add(arrival, current != null)) {
-            refuseInItsTurn(message);
+    private void enqueue(RequestReader.RequestEvent message) {
+        Arrival arrival = waiting.hasSurplus() ? null : parser.parse(message, delayedSinceMs);
+        if (arrival == null || !waiting.offer(arrival, current != null)) {
+            refuseInOrder(message);
             return;
         }
-        arriving = arrival.request() == null ? arriving : message.rest() == null ? arriving : message.rest();
+        incomingBody = arrival.request() == null
+                ? incomingBody
+                : message.remainingBody() == null ? incomingBody : message.remainingBody();
     }
 
-    private void refuseInItsTurn(RequestReader.Read message) {
-        if (message.rest() != null) {
-            message.rest().abandon();
+    private void refuseInOrder(RequestReader.RequestEvent message) {
+        if (message.remainingBody() != null) {
+            message.remainingBody().abandon();
         }
         if (message.head() == null) {
-            waiting.endWith(message.status());
+            waiting.endWithStatus(message.status());
         } else if (!waiting.addSurplus()) {
-            ended = true;
+            inputEnded = true;
             reader.stop();
         }
     }
 
-    /** Whether the last byte of the request at hand is still to come. */
-    private boolean isArriving() {
+    /** Returns whether the last byte of the current request is still to come. */
+    private boolean isRequestIncomplete() {
         return current != null && current.request() != null && current.request().isIncomplete();
     }
 
-    /** Answers the request at hand, which will never be whole, and so has not run. */
+    /** Answers the current request, which will never be complete and so has not run. */
     private void abort(int status) {
         Arrival arrival = current;
-        driver.cancel(currentId);
+        handler.cancel(currentId);
         answer(arrival, Answer.status(status));
     }
 
     @Override
     public void setDemand(boolean more) {
-        if (more != wanted) {
-            wanted = more;
+        if (more != bodyDemanded) {
+            bodyDemanded = more;
             double nowMs = clock.nowMs();
-            unwantedMs += more ? nowMs - unwantedSinceMs : 0;
-            unwantedSinceMs = nowMs;
+            notDemandedMs += more ? nowMs - notDemandedSinceMs : 0;
+            notDemandedSinceMs = nowMs;
             adjustReading();
         }
     }
 
     @Override
     public void abandoned() {
-        setDemand(true); // it is read to its end all the same
+        setDemand(true); // the rest of the body is still read
     }
 
-    /** Bounds what waits here: requests behind the one at hand, and answers that the client does not read. */
+    /** Pauses or resumes reading, which bounds the buffered part of a body that nobody consumes. */
     private void adjustReading() {
-        boolean full = !wanted && (heldBytes >= MOST_HELD || !server.hasRoomFor(0));
-        context.channel().config().setAutoRead(!pausing && !full);
+        boolean full = !bodyDemanded && (bufferedBytes >= MAX_BUFFERED_BODY_BYTES || !server.hasCapacityFor(0));
+        context.channel().config().setAutoRead(!readPaused && !full);
     }
 
-    /** Tells the server what of the body that is coming nobody has taken yet. */
-    private void held() {
-        long now = arriving == null ? 0 : arriving.bufferedBytes();
-        server.holds(now - heldBytes);
-        heldBytes = now;
+    /** Reports to the server how much of the incoming body is buffered. */
+    private void reportBufferedBytes() {
+        long buffered = incomingBody == null ? 0 : incomingBody.bufferedBytes();
+        server.addBufferedBytes(buffered - bufferedBytes);
+        bufferedBytes = buffered;
     }
 
-    /** What is of no use is read as well, but not faster than this: the client's end may stand behind it. */
+    /**
+     * Pauses reading of input that is discarded. Such input is still read, since the client's disconnect may follow it, but
+     * at a limited rate.
+     */
     private void pauseReading() {
-        pausing = true;
+        readPaused = true;
         adjustReading();
         context.executor()
                 .schedule(
                         () -> {
-                            pausing = false;
+                            readPaused = false;
                             adjustReading();
                         },
-                        PAUSE_MS,
+                        READ_DELAY_MS,
                         TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Reads and writes once without being told to: a registration with the selector may have failed, which Java tells nobody,
-     * also where it was good before and Netty has made another selector. {@code resting}: also where nothing is in hand.
+     * Reads and writes without being notified by the selector: registering with it may have failed, which Java does not
+     * report, even if it worked before and Netty has replaced the selector.
+     *
+     * @param evenIdle whether to do so although no request is in progress
      */
-    void verify(boolean resting) {
+    void pollChannel(boolean evenIdle) {
         if (!(context.channel() instanceof RetryingSocketChannel channel)) {
             return;
         }
-        if (resting || current != null || isMute() || channel.hasPendingWrites()) {
-            boolean stood = mayHaveStood;
-            mayHaveStood = true; // what is found now may have come long ago
+        if (evenIdle || current != null || isSilent() || channel.hasPendingWrites()) {
+            boolean wasDelayed = mayBeDelayed;
+            mayBeDelayed = true; // input found now may have arrived long ago
             RetryingSocketChannel.ReadResult found = channel.pollAndRearm();
-            notedReading(found);
+            noteReadResult(found);
             if (found == RetryingSocketChannel.ReadResult.EXHAUSTED
                     || found == RetryingSocketChannel.ReadResult.NOT_READ) {
-                mayHaveStood = stood; // nothing was found
+                mayBeDelayed = wasDelayed; // nothing was read
             }
         }
     }
 
-    /** A read that finds nothing more shows as well as any other that the client can be read. */
-    private void notedReading(RetryingSocketChannel.ReadResult found) {
+    /** Records that the connection is readable, which a read that finds nothing more shows as well as any other. */
+    private void noteReadResult(RetryingSocketChannel.ReadResult found) {
         if (found == RetryingSocketChannel.ReadResult.EXHAUSTED) {
-            canBeRead();
+            noteReadable();
         }
     }
 
-    private void canBeRead() {
-        blindSinceMs = Double.NaN;
-        stoodSinceMs = Double.NaN;
+    private void noteReadable() {
+        unreadableSinceMs = Double.NaN;
+        delayedSinceMs = Double.NaN;
     }
 
-    /** Guards a request whose client can't be read any more: whether that has left can't be seen, so it gets its answer now. */
+    /**
+     * Fails the current request with an answer if its connection has been unreadable for too long: whether the client has
+     * disconnected can't be seen.
+     */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event == RetryingSocketChannel.Event.READ_FAILED) {
             double nowMs = clock.nowMs();
-            blindSinceMs = Double.isNaN(blindSinceMs) ? nowMs : blindSinceMs;
-            stoodSinceMs = Double.isNaN(stoodSinceMs) ? nowMs : stoodSinceMs;
-            mayHaveStood = true; // what comes next may stand here already
-            boolean inHand = current != null && current.request() != null && writing == null;
-            if (inHand && nowMs - blindSinceMs > LONGEST_BLIND_MS) {
-                server.unreadable();
-                failAtHand();
+            unreadableSinceMs = Double.isNaN(unreadableSinceMs) ? nowMs : unreadableSinceMs;
+            delayedSinceMs = Double.isNaN(delayedSinceMs) ? nowMs : delayedSinceMs;
+            mayBeDelayed = true; // input read next may have been waiting already
+            boolean inProgress = current != null && current.request() != null && outgoingBody == null;
+            if (inProgress && nowMs - unreadableSinceMs > UNREADABLE_REQUEST_TIMEOUT_MS) {
+                server.logUnreadable();
+                failCurrent();
             }
         }
         ctx.fireUserEventTriggered(event);
@@ -318,118 +340,121 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         boolean writable = ctx.channel().isWritable();
-        stalledSinceMs = writable ? Double.NaN : clock.nowMs();
-        if (writing != null) {
-            writing.setDemand(writable);
+        writeStalledSinceMs = writable ? Double.NaN : clock.nowMs();
+        if (outgoingBody != null) {
+            outgoingBody.setDemand(writable);
         }
-        next();
+        processNext();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (ctx.channel() instanceof RetryingSocketChannel channel && !channel.getAndClearHasRead()) {
-            ctx.fireChannelReadComplete(); // a read that failed, or found nothing where the selector was not asked
+            ctx.fireChannelReadComplete(); // the read failed, or was a poll that found nothing
             return;
         }
-        canBeRead();
-        reads++;
+        noteReadable();
+        readCount++;
         double nowMs = clock.nowMs();
         lastReadMs = nowMs;
-        if (!partial && reader.midRequest()) {
-            partialSinceMs = isMute() ? connectedMs : nowMs;
-            unwantedMs = 0;
+        if (!partial && reader.isMidRequest()) {
+            partialSinceMs = isSilent() ? connectedMs : nowMs;
+            notDemandedMs = 0;
         }
-        partial = reader.midRequest();
-        if (arriving != null) {
-            held();
+        partial = reader.isMidRequest();
+        if (incomingBody != null) {
+            reportBufferedBytes();
             adjustReading();
         }
-        if ((ended || waiting.hasSurplus()) && !pausing && reads % READS_AT_ONCE == 0) {
+        if ((inputEnded || waiting.hasSurplus()) && !readPaused && readCount % READS_BEFORE_PAUSE == 0) {
             pauseReading();
         }
         ctx.fireChannelReadComplete();
     }
 
-    /** Takes up what waits, unless the client takes none of what it is answered. */
-    private void next() {
+    /** Processes queued requests, unless the client is not reading its answers. */
+    private void processNext() {
         if (answering) {
             return;
         }
         answering = true;
         while (current == null
-                && !done
+                && !lastAnswerWritten
                 && context.channel().isActive()
                 && context.channel().isWritable()) {
             Arrival arrival = waiting.poll();
             if (arrival == null) {
                 break;
             }
-            begin(arrival);
+            startRequest(arrival);
         }
         answering = false;
     }
 
     /**
-     * Guards against a client that has left while nobody read what it had sent: its end stands in the socket behind its request,
-     * and is looked for first.
+     * Starts a request. If its input was delayed, the connection is checked first: the client may have disconnected
+     * meanwhile, with its end of stream unread in the socket behind the request.
      */
-    private void begin(Arrival arrival) {
+    private void startRequest(Arrival arrival) {
         current = arrival;
-        boolean waits =
-                mayHaveStood && arrival.request() != null && arrival.request().remainingBody() == null;
-        mayHaveStood = false;
-        if (!waits) {
-            takeUp(arrival);
+        boolean checkFirst =
+                mayBeDelayed && arrival.request() != null && arrival.request().remainingBody() == null;
+        mayBeDelayed = false;
+        if (!checkFirst) {
+            process(arrival);
             return;
         }
-        NextSelect.runAfter(context.executor(), () -> takeUpOnceConfirmed(arrival));
+        NextSelect.runAfter(context.executor(), () -> processOnceConfirmed(arrival));
     }
 
-    private void takeUpOnceConfirmed(Arrival arrival) {
+    private void processOnceConfirmed(Arrival arrival) {
         if (current != arrival || !context.channel().isActive()) {
             return;
         }
-        boolean confirmed = verifyClientPresent();
+        boolean clientPresent = verifyClientPresent();
         if (current != arrival) {
-            return; // it was failed, for its connection can't be read
+            return; // it has been failed, because its connection is unreadable
         }
-        if (confirmed) {
-            takeUp(arrival);
-            next();
+        if (clientPresent) {
+            process(arrival);
+            processNext();
         } else if (context.channel().isActive()) {
-            context.executor().schedule(() -> takeUpOnceConfirmed(arrival), PAUSE_MS, TimeUnit.MILLISECONDS);
+            context.executor().schedule(() -> processOnceConfirmed(arrival), READ_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Guards nodes against requests whose clients have left unseen: the selector may tell nothing, or reads fail. */
+    /**
+     * Reads pending input, so that no request is sent to a node after its client has disconnected unnoticed because the
+     * selector reported nothing or reads failed.
+     */
     @Override
     public boolean verifyClientPresent() {
-        if (inRead || isArriving() || !(context.channel() instanceof RetryingSocketChannel channel)) {
+        if (processingRead || isRequestIncomplete() || !(context.channel() instanceof RetryingSocketChannel channel)) {
             return true;
         }
         boolean open = channel.isActive();
         RetryingSocketChannel.ReadResult found =
                 open ? channel.readUntilEmpty() : RetryingSocketChannel.ReadResult.NOT_READ;
-        notedReading(found);
+        noteReadResult(found);
         return found != RetryingSocketChannel.ReadResult.FAILED && channel.isActive() == open;
     }
 
-    private void takeUp(Arrival arrival) {
+    private void process(Arrival arrival) {
         if (arrival.isSurplus()) {
-            server.tooMany();
+            server.countRefusal();
             answer(arrival, Answer.refused(server.retryAfterMs()));
         } else if (arrival.request() == null) {
             answer(arrival, Answer.status(arrival.status()));
-        } else if (driver.isInFlight(arrival.request().callId())) {
-            // Guards against one client that would have another one's request run twice, or be answered in its place.
+        } else if (handler.isInFlight(arrival.request().callId())) {
+            // Otherwise one client could have another's request run twice, or receive its answer.
             answer(arrival, Answer.status(HttpStatus.CONFLICT));
-        } else if (server.overfull()) {
+        } else if (server.isOverCapacity()) {
             current = new Arrival(arrival.request(), 0, false);
             answer(current, Answer.refused(server.retryAfterMs()));
-        } else if (server.takesTheLast()) {
+        } else if (server.takesReservedConnection()) {
             answer(arrival, Answer.refused(server.retryAfterMs()));
         } else {
-            int id = driver.handle(arrival.request(), answer -> answer(arrival, answer));
+            int id = handler.handle(arrival.request(), answer -> answer(arrival, answer));
             currentId = current == arrival ? id : 0;
         }
     }
@@ -441,15 +466,15 @@
             }
             return;
         }
-        boolean early = arrival.request() != null && arrival.request().isIncomplete();
-        if (early) {
+        boolean answeredEarly = arrival.request() != null && arrival.request().isIncomplete();
+        if (answeredEarly) {
             arrival.request().remainingBody().abandon();
         }
         if (answer.remainingBody() != null) {
-            pass(arrival, answer, early);
+            streamAnswer(arrival, answer, answeredEarly);
             return;
         }
-        free();
+        finishRequest();
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(answer.status()),
@@ -464,9 +489,9 @@
                             .stripTrailingZeros()
                             .toPlainString());
         }
-        boolean keepAlive = keepsAlive(arrival) && !early;
+        boolean keepAlive = isKeptAlive(arrival) && !answeredEarly;
         HttpUtil.setKeepAlive(response, keepAlive);
-        end(context.writeAndFlush(response), keepAlive, early);
+        completeAnswer(context.writeAndFlush(response), keepAlive, answeredEarly);
     }
 
     private static void setType(HttpHeaders headers, Answer answer) {
@@ -475,64 +500,67 @@
         }
     }
 
-    /** The request at hand has been answered. */
-    private void free() {
+    /** Records that the current request has been answered. */
+    private void finishRequest() {
         current = null;
         currentId = 0;
         freeSinceMs = clock.nowMs();
     }
 
-    private boolean keepsAlive(Arrival arrival) {
+    private boolean isKeptAlive(Arrival arrival) {
         return arrival.keepAlive()
-                && !(waiting.isEmpty() && (server.draining() || requests == 1 && server.closesAtOnce()));
+                && !(waiting.isEmpty() && (server.draining() || requests == 1 && server.closesAfterFirstAnswer()));
     }
 
-    /** An answer has been written. Guards one that came early: closing on a request half read would spoil it. */
-    private void end(ChannelFuture written, boolean keepAlive, boolean early) {
-        if (early && !ended) {
-            closing = true;
+    /**
+     * Completes an answer. After an early one the connection is closed only once the rest of the request has been read:
+     * closing before would reset the connection and could lose the answer.
+     */
+    private void completeAnswer(ChannelFuture written, boolean keepAlive, boolean answeredEarly) {
+        if (answeredEarly && !inputEnded) {
+            closeAfterRequest = true;
             adjustReading();
         } else if (keepAlive) {
-            next();
+            processNext();
         } else {
-            done = true;
+            lastAnswerWritten = true;
             written.addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    /** Writes a long answer as it comes. One that breaks off ends the connection with a reset, so that the client can tell. */
-    private void pass(Arrival arrival, Answer answer, boolean early) {
+    /** Writes a long answer as it arrives. If it breaks off, the connection is reset, so that the client can tell. */
+    private void streamAnswer(Arrival arrival, Answer answer, boolean answeredEarly) {
         HttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()));
         HttpHeaders headers = response.headers();
         setType(headers, answer);
         if (answer.contentLength() >= 0) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, answer.contentLength());
-        } else if (!arrival.old()) {
+        } else if (!arrival.http10()) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        boolean keepAlive = keepsAlive(arrival) && !early && !(arrival.old() && answer.contentLength() < 0);
+        boolean keepAlive = isKeptAlive(arrival) && !answeredEarly && !(arrival.http10() && answer.contentLength() < 0);
         HttpUtil.setKeepAlive(response, keepAlive);
         context.write(response);
         context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(answer.body())));
-        writing = answer.remainingBody();
-        writing.attach(new BodyPipe.Sink() {
+        outgoingBody = answer.remainingBody();
+        outgoingBody.attach(new BodyPipe.Sink() {
             @Override
             public void write(ByteBuf part) {
-                BodyPipe pipe = writing;
+                BodyPipe pipe = outgoingBody;
                 context.writeAndFlush(new DefaultHttpContent(part));
                 pipe.setDemand(context.channel().isWritable());
             }
 
             @Override
-            public void ended(boolean whole) {
-                writing = null;
+            public void ended(boolean complete) {
+                outgoingBody = null;
                 if (current != arrival) {
-                    return; // the client has left
+                    return; // the client has disconnected
                 }
-                free();
-                if (whole) {
-                    end(context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), keepAlive, early);
+                finishRequest();
+                if (complete) {
+                    completeAnswer(context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), keepAlive, answeredEarly);
                 } else {
                     context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
                     close(true);
@@ -545,29 +573,31 @@
         return freeSinceMs;
     }
 
-    /** Whether it may be closed where there are many. */
-    boolean isSpare(double nowMs) {
-        boolean stands = partial
-                ? nowMs - lastReadMs >= PARTIAL_IS_SPARE_MS
-                : nowMs - freeSinceMs >= (isMute() ? MUTE_IS_SPARE_MS : IDLE_IS_SPARE_MS);
-        return stands && isFree();
+    /** Returns whether it may be closed if many connections are open. */
+    boolean isSurplus(double nowMs) {
+        boolean unused = partial
+                ? nowMs - lastReadMs >= PARTIAL_SURPLUS_MS
+                : nowMs - freeSinceMs >= (isSilent() ? SILENT_SURPLUS_MS : IDLE_SURPLUS_MS);
+        return unused && isFree();
     }
 
-    /** Whether it is one of many on which nothing more than this is to be expected. */
-    boolean isJunk(double nowMs) {
-        return isMute() ? isSpare(nowMs) : askedOnce() && nowMs - freeSinceMs >= ASKED_ONCE_IS_SPARE_MS && isFree();
+    /** Returns whether no further request is to be expected, given that clients do not reuse connections. */
+    boolean isSingleUseSurplus(double nowMs) {
+        return isSilent()
+                ? isSurplus(nowMs)
+                : hasServedOnce() && nowMs - freeSinceMs >= SINGLE_USE_SURPLUS_MS && isFree();
     }
 
-    /** Whether no request has come yet, nor anything that can't be read. */
-    private boolean isMute() {
+    /** Returns whether no request, and nothing malformed, has been received. */
+    private boolean isSilent() {
         return requests == 0;
     }
 
-    boolean askedOnce() {
+    boolean hasServedOnce() {
         return requests == 1 && !partial;
     }
 
-    /** Whether no request is at hand, and no answer is left to be written. */
+    /** Returns whether no request is in progress and no answer is waiting to be written. */
     private boolean isFree() {
         return !retiring && isAnswered();
     }
@@ -576,79 +606,88 @@
         return current == null && waiting.isEmpty() && !hasUnwrittenAnswer();
     }
 
-    /** Guards answers where writes fail for a moment: closing drops what is not written yet. */
+    /** Returns whether bytes are waiting to be written, which closing would drop. */
     private boolean hasUnwrittenAnswer() {
         return context.channel() instanceof RetryingSocketChannel channel && channel.hasPendingWrites();
     }
 
-    /** Whether nothing is to be expected of it any more; {@code keepIdle} spares what has brought requests. */
-    boolean isUseless(double nowMs, boolean keepIdle) {
-        double sinceMs = partial ? partialSinceMs : isMute() ? connectedMs : freeSinceMs;
-        double mostMs = partial
-                ? longestPartialMs()
-                : isMute() ? LONGEST_MUTE_MS : keepIdle ? Double.MAX_VALUE : LONGEST_IDLE_MS;
-        return isFree() && nowMs - sinceMs >= mostMs;
+    /**
+     * Returns whether the connection has timed out.
+     *
+     * @param keepIdle whether connections that have carried requests are kept
+     */
+    boolean hasTimedOut(double nowMs, boolean keepIdle) {
+        double sinceMs = partial ? partialSinceMs : isSilent() ? connectedMs : freeSinceMs;
+        double timeoutMs = partial
+                ? partialTimeoutMs()
+                : isSilent() ? SILENT_TIMEOUT_MS : keepIdle ? Double.MAX_VALUE : IDLE_TIMEOUT_MS;
+        return isFree() && nowMs - sinceMs >= timeoutMs;
     }
 
-    /** How long what has come of a request may have taken. */
-    private double longestPartialMs() {
-        return LONGEST_PARTIAL_MS + reader.bodyBytes() / LEAST_BYTES_IN_MS;
+    /** Returns the timeout for the part of a request that has been received. */
+    private double partialTimeoutMs() {
+        return PARTIAL_HEAD_TIMEOUT_MS + reader.bodyBytes() / MIN_BODY_BYTES_PER_MS;
     }
 
-    /** Ends what the client no longer goes on with: a long request that comes too slowly, a long answer that it doesn't read. */
+    /** Ends requests that arrive too slowly, and connections on which the client has stopped reading a long answer. */
     void endStalled(double nowMs) {
-        boolean slow = partial && wanted && nowMs - partialSinceMs - unwantedMs > longestPartialMs();
-        if (slow && closing || nowMs - stalledSinceMs > LONGEST_STALL_MS) {
+        boolean tooSlow = partial && bodyDemanded && nowMs - partialSinceMs - notDemandedMs > partialTimeoutMs();
+        if (tooSlow && closeAfterRequest || nowMs - writeStalledSinceMs > WRITE_STALL_TIMEOUT_MS) {
             close(true);
-        } else if (slow && isArriving() && !ended) {
-            ended = true;
-            abort(HttpStatus.TIMED_OUT);
+        } else if (tooSlow && isRequestIncomplete() && !inputEnded) {
+            inputEnded = true;
+            abort(HttpStatus.REQUEST_TIMEOUT);
         }
     }
 
     /**
-     * Closes it between requests, if nothing has come on it by the end of the next pass over the sockets; half a request
-     * gets an answer first. Guards against a request that came while the event loop was held up: the connection looks
-     * as if it had been free all that time, and closing it would leave the request without an answer. {@code closing} is
-     * run only if it is closed.
+     * Closes the connection between requests if nothing has arrived by the end of the next pass over the sockets; a partial
+     * request is answered first. After an event loop stall a connection looks unused even if a request is waiting in its
+     * socket, and closing it at once would leave that request without an answer.
+     *
+     * @param closing run only if the connection is closed
      */
     void retire(Runnable closing) {
         if (!retiring) {
             retiring = true;
-            long before = reads;
-            NextSelect.runAfter(context.executor(), () -> endRetirement(before, closing));
+            long readCountBefore = readCount;
+            NextSelect.runAfter(context.executor(), () -> finishRetirement(readCountBefore, closing));
         }
     }
 
-    private void endRetirement(long before, Runnable closing) {
+    private void finishRetirement(long readCountBefore, Runnable closing) {
         retiring = false;
         if (!context.channel().isActive()) {
             return;
         }
-        if (reads != before) {
-            server.spared();
+        if (readCount != readCountBefore) {
+            server.logRetirementCancelled();
             return;
         }
-        boolean blind = !Double.isNaN(blindSinceMs);
-        if (hasUnwrittenAnswer() || blind && !isOwedAnEnd()) {
-            return; // what stands there unread would go with it
+        boolean unreadable = !Double.isNaN(unreadableSinceMs);
+        if (hasUnwrittenAnswer() || unreadable && !mustBeEnded()) {
+            return; // unread input would be lost
         }
         closing.run();
-        if (partial || blind) {
-            server.toldUnread(clock.nowMs() - connectedMs);
-            current = new Arrival(null, HttpStatus.TIMED_OUT, false);
-            answer(current, Answer.status(HttpStatus.TIMED_OUT));
+        if (partial || unreadable) {
+            server.logRequestTimeout(clock.nowMs() - connectedMs);
+            current = new Arrival(null, HttpStatus.REQUEST_TIMEOUT, false);
+            answer(current, Answer.status(HttpStatus.REQUEST_TIMEOUT));
         } else {
             close(false);
         }
     }
 
-    /** Whether its client has waited for an answer or an end for almost as long as it has to, whatever stands there unread. */
-    private boolean isOwedAnEnd() {
-        return partial || isMute() && clock.nowMs() - connectedMs >= LONGEST_UNREAD_MS;
+    /** Returns whether the client has waited almost as long as it may for an answer or a close, whatever input is unread. */
+    private boolean mustBeEnded() {
+        return partial || isSilent() && clock.nowMs() - connectedMs >= UNREADABLE_TIMEOUT_MS;
     }
 
-    /** Closes the connection if no request is at hand, {@code evenPartial}: though half a one may have come. */
+    /**
+     * Closes the connection if no request is in progress.
+     *
+     * @param evenPartial whether to close it although a partial request has been received
+     */
     void closeIfIdle(boolean evenPartial) {
         if (isAnswered() && (evenPartial || !partial)) {
             retire(() -> {});
@@ -657,28 +696,32 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        server.closed(this);
+        server.connectionClosed(this);
         if (current != null) {
-            BodyPipe unfinished = isArriving() ? current.request().remainingBody() : null;
+            BodyPipe unfinished = isRequestIncomplete() ? current.request().remainingBody() : null;
             current = null;
-            driver.cancel(currentId);
-            if (writing != null) {
-                writing.abandon();
+            handler.cancel(currentId);
+            if (outgoingBody != null) {
+                outgoingBody.abandon();
             }
             if (unfinished != null) {
                 unfinished.end(false);
             }
         }
-        waiting.leave();
-        server.holds(-heldBytes);
-        heldBytes = 0;
-        arriving = null;
+        waiting.abandon();
+        server.addBufferedBytes(-bufferedBytes);
+        bufferedBytes = 0;
+        incomingBody = null;
     }
 
-    /** Closes the connection, unless a request on it would lose its answer; {@code broken}: none can be given any more. */
+    /**
+     * Closes the connection, unless a request on it would lose its answer.
+     *
+     * @param broken whether nothing can be answered on it any more
+     */
     private void close(boolean broken) {
-        boolean unanswered = current != null && current.request() != null && writing == null || !waiting.isEmpty();
-        if (!server.guard().checkClose(unanswered && !closing, broken).isAllowed()) {
+        boolean unanswered = current != null && current.request() != null && outgoingBody == null || !waiting.isEmpty();
+        if (!server.guard().checkClose(unanswered && !closeAfterRequest, broken).isAllowed()) {
             return;
         }
         if (!broken && hasUnwrittenAnswer()) {
@@ -688,23 +731,23 @@
         }
     }
 
-    /** Guards a request in hand against a fault of this program: it is failed, which its client is told. */
+    /** Answers the current request with a failure if this program has an unexpected error, instead of dropping it. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        boolean inHand = context != null && current != null && current.request() != null && writing == null;
-        if (cause instanceof IOException || !inHand || ended) {
+        boolean inProgress = context != null && current != null && current.request() != null && outgoingBody == null;
+        if (cause instanceof IOException || !inProgress || inputEnded) {
             ctx.close();
             return;
         }
-        server.failed(cause);
-        failAtHand();
+        server.logFailure(cause);
+        failCurrent();
     }
 
-    /** Fails the request at hand and ends the connection with that. */
-    private void failAtHand() {
-        ended = true;
-        driver.cancel(currentId);
-        current = new Arrival(current.request(), 0, false, current.old());
+    /** Fails the current request and ends the connection after its answer. */
+    private void failCurrent() {
+        inputEnded = true;
+        handler.cancel(currentId);
+        current = new Arrival(current.request(), 0, false, current.http10());
         answer(current, Answer.status(HttpStatus.BAD_GATEWAY));
     }
 }
--- a/src/main/java/ivybank/client/ClientListenerChannel.java
+++ b/src/main/java/ivybank/client/ClientListenerChannel.java
@@ -8,81 +8,85 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The socket on which clients connect. */
+/** The listening socket for client connections. */
 public final class ClientListenerChannel extends NioServerSocketChannel {
 
-    /** Told through the pipeline, before the connections that it concerns. */
+    /** Events fired in the pipeline before the connections that they concern. */
     enum Event {
-        /** What is accepted now may have stood in the backlog: an accept was interrupted, or took long. */
-        HELD_BACK,
-        /** Connections were there of which the selector had told nothing. */
-        FOUND_UNTOLD
+        /** Connections accepted now may have waited in the backlog: an accept was interrupted or took long. */
+        ACCEPT_DELAYED,
+        /** Connections were waiting that the selector had not reported. */
+        MISSED_BY_SELECTOR
     }
 
     /**
-     * Told through the pipeline of a connection that was accepted and whose channel could not be made at once.
+     * Fired in the pipeline for an accepted connection whose channel could not be created at once.
      *
      * @param waitedMs how long ago it was accepted, in milliseconds
-     * @param used whether its channel is there now, and it was not given up
+     * @param usable whether its channel has been created now; otherwise the connection is closed
      */
-    record Delayed(double waitedMs, boolean used) {}
+    record Delayed(double waitedMs, boolean usable) {}
 
-    private static final int MOST_UNREADY = 64;
-    private static final long PAUSE_MS = 5;
-    /** As long as a client that says nothing is kept. */
-    private static final double LONGEST_UNREADY_MS = 2500;
+    private static final int MAX_UNREADY = 64;
+    private static final long RETRY_DELAY_MS = 5;
+    /** The time for which channel creation is retried: as long as a silent client is kept. */
+    private static final double UNREADY_TIMEOUT_MS = 2500;
 
-    private static final double LONG_ACCEPT_MS = 10;
+    private static final double SLOW_ACCEPT_MS = 10;
 
-    /** Accepted connections whose channels could not be made yet. */
+    /** Accepted connections whose channels could not be created yet. */
     private final List<AcceptedConnection> unready = new ArrayList<>();
 
-    private final BackgroundAccept background = new BackgroundAccept(javaChannel(), this::accepted);
-    private int mostAtOnce = 1;
-    /** What is run before it closes, once nobody stands in the backlog; null while it goes on. */
+    private final BackgroundAccept background = new BackgroundAccept(javaChannel(), this::acceptCompleted);
+    private int maxAccepts = 1;
+    /** Run before the channel closes, once the backlog is empty; null while it stays open. */
     private Runnable whenDrained;
-    /** Whether the accepts that go on were not asked for by the selector. */
+    /** Whether the running round of accepts was started without a report of the selector. */
     private boolean polled;
-    /** Whether somebody may have come behind the accepts that go on. */
-    private boolean lookAgain;
-    /** Whether the last accepts that were begun have found nobody. */
-    private boolean emptied;
+    /** Whether clients may have connected since the running round of accepts began. */
+    private boolean pollAgain;
+    /** Whether the last round of accepts found the backlog empty. */
+    private boolean backlogEmpty;
 
-    /** One that is to be bound. */
+    /** Creates a channel that is not bound yet. */
     public ClientListenerChannel() {}
 
-    /** One that listens already, and that other processes may have too. */
+    /** Creates a channel for a socket that is listening already, and that other processes may share. */
     public ClientListenerChannel(ServerSocketChannel listening) {
         super(listening);
     }
 
-    /** From now on closes as soon as a look at the backlog finds nobody; {@code closing} is run before. */
+    /**
+     * Closes the channel as soon as the backlog is found empty.
+     *
+     * @param closing run before it closes
+     */
     void closeOnceDrained(Runnable closing) {
         whenDrained = closing;
     }
 
-    /** How many connections may be accepted at once from now on. */
-    void mostAtOnce(int most) {
-        mostAtOnce = most;
+    /** Sets how many connections may be accepted in one round. */
+    void setMaxAccepts(int max) {
+        maxAccepts = max;
     }
 
     @Override
-    protected int doReadMessages(List<Object> none) {
+    protected int doReadMessages(List<Object> unused) {
         accept(false);
-        return 0; // the pipeline is told of connections once they are accepted
+        return 0; // connections are passed to the pipeline once they are accepted
     }
 
-    private void accept(boolean untold) {
+    private void accept(boolean unreported) {
         if (background.isBusy()) {
-            lookAgain = true;
+            pollAgain = true;
             return;
         }
-        polled = untold;
-        emptied = false;
+        polled = unreported;
+        backlogEmpty = false;
         if (isRegistered()) {
-            removeAndSubmit(NioIoOps.ACCEPT); // else the selector reports the same until it is accepted
+            removeAndSubmit(NioIoOps.ACCEPT); // otherwise the selector reports the same connection until it is accepted
         }
-        background.begin(eventLoop(), mostAtOnce, !untold);
+        background.start(eventLoop(), maxAccepts, !unreported);
     }
 
     @Override
@@ -92,36 +96,36 @@
         }
     }
 
-    private void accepted(BackgroundAccept.Outcome outcome) {
-        boolean nobody = outcome.connections().isEmpty();
-        boolean interrupted = nobody && !polled && outcome.failure() == null;
-        emptied = nobody && !outcome.somebodyLeft();
-        if (outcome.tookMs() > LONG_ACCEPT_MS || nobody && !polled) {
-            pipeline().fireUserEventTriggered(Event.HELD_BACK);
+    private void acceptCompleted(BackgroundAccept.Outcome outcome) {
+        boolean nothingAccepted = outcome.connections().isEmpty();
+        boolean interrupted = nothingAccepted && !polled && outcome.failure() == null;
+        backlogEmpty = nothingAccepted && !outcome.backlogMayRemain();
+        if (outcome.durationMs() > SLOW_ACCEPT_MS || nothingAccepted && !polled) {
+            pipeline().fireUserEventTriggered(Event.ACCEPT_DELAYED);
         }
-        if (polled && !nobody) {
-            pipeline().fireUserEventTriggered(Event.FOUND_UNTOLD);
+        if (polled && !nothingAccepted) {
+            pipeline().fireUserEventTriggered(Event.MISSED_BY_SELECTOR);
         }
         outcome.connections().forEach(this::open);
         if (outcome.failure() != null) {
             pipeline().fireExceptionCaught(outcome.failure());
         }
-        if (lookAgain) {
-            lookAgain = false;
+        if (pollAgain) {
+            pollAgain = false;
             poll();
         } else if (whenDrained != null && isDrained()) {
             whenDrained.run();
-            close(); // at once: who comes now would be reset
+            close(); // immediately: a client that connected in between would be reset
             return;
         }
-        if (interrupted) { // or another process was faster: at once it might be the same again, without end
-            eventLoop().schedule(this::goOn, PAUSE_MS, TimeUnit.MILLISECONDS);
+        if (interrupted) { // or another process accepted first: retrying at once might repeat this endlessly
+            eventLoop().schedule(this::resumeAccepting, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
-            goOn();
+            resumeAccepting();
         }
     }
 
-    private void goOn() {
+    private void resumeAccepting() {
         if (isActive() && config().isAutoRead()) {
             read();
         }
@@ -131,68 +135,70 @@
         try {
             pipeline().fireChannelRead(new ClientSocketChannel(this, connection));
         } catch (RuntimeException | Error e) {
-            keep(connection);
-            pipeline().fireExceptionCaught(new IOException("an accepted connection can't be used yet: " + e, e));
+            retryLater(connection);
+            pipeline()
+                    .fireExceptionCaught(
+                            new IOException("the channel of an accepted connection could not be created: " + e, e));
         }
     }
 
-    /** Whether accepts go on: closing would wait for their end. */
+    /** Returns whether a round of accepts is running; closing the channel would wait for its end. */
     boolean isAccepting() {
         return background.isBusy();
     }
 
-    /** Whether nobody was left in the backlog at the last look, and all who were accepted have their channels. */
+    /** Returns whether the last round of accepts found the backlog empty and all accepted connections have their channels. */
     boolean isDrained() {
-        return emptied && unready.isEmpty() && !background.isBusy();
+        return backlogEmpty && unready.isEmpty() && !background.isBusy();
     }
 
-    /** Guards a client that was accepted and may have sent a request: making its channel is tried again. */
-    private void keep(AcceptedConnection connection) {
-        if (unready.size() >= MOST_UNREADY) {
+    /** Schedules another attempt to create the channel of an accepted connection, whose client may have sent a request. */
+    private void retryLater(AcceptedConnection connection) {
+        if (unready.size() >= MAX_UNREADY) {
             pipeline().fireUserEventTriggered(new Delayed(0, false));
             close(connection);
             return;
         }
         unready.add(connection);
         if (unready.size() == 1) {
-            eventLoop().schedule(this::tryUnready, PAUSE_MS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(this::retryUnready, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void tryUnready() {
-        for (AcceptedConnection each : List.copyOf(unready)) {
+    private void retryUnready() {
+        for (AcceptedConnection connection : List.copyOf(unready)) {
             try {
-                ClientSocketChannel channel = new ClientSocketChannel(this, each);
-                unready.remove(each);
-                pipeline().fireUserEventTriggered(new Delayed(each.acceptedAgoMs(), true));
+                ClientSocketChannel channel = new ClientSocketChannel(this, connection);
+                unready.remove(connection);
+                pipeline().fireUserEventTriggered(new Delayed(connection.sinceAcceptMs(), true));
                 pipeline().fireChannelRead(channel);
             } catch (RuntimeException | Error e) {
-                giveUpIfLate(each);
+                closeIfTimedOut(connection);
             }
         }
         if (!unready.isEmpty()) {
-            eventLoop().schedule(this::tryUnready, PAUSE_MS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(this::retryUnready, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void giveUpIfLate(AcceptedConnection late) {
-        if (late.acceptedAgoMs() < LONGEST_UNREADY_MS) {
+    private void closeIfTimedOut(AcceptedConnection connection) {
+        if (connection.sinceAcceptMs() < UNREADY_TIMEOUT_MS) {
             return;
         }
-        unready.remove(late);
-        pipeline().fireUserEventTriggered(new Delayed(late.acceptedAgoMs(), false));
-        close(late);
+        unready.remove(connection);
+        pipeline().fireUserEventTriggered(new Delayed(connection.sinceAcceptMs(), false));
+        close(connection);
     }
 
     private static void close(AcceptedConnection connection) {
         try {
             connection.socket().close();
         } catch (IOException e) {
-            // It has ended all the same.
+            // the connection has ended anyway
         }
     }
 
-    /** Accepts without being told that somebody is there: a registration with the selector may have failed unseen. */
+    /** Accepts without a report of the selector: registering with it may have failed unnoticed. */
     void poll() {
         if (isActive() && config().isAutoRead()) {
             accept(true);
--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -28,36 +28,45 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Listens for the client and keeps its connections. */
+/** Listens for clients and manages their connections. */
 public final class ClientServer {
 
     /**
-     * Up to how many client connections none is closed early, up to how many requests are served, and how many are
-     * accepted to be told otherwise; and how many the client has for requests in hand, all processes of the sidecar together.
+     * Limits on client connections.
+     *
+     * @param evictionThreshold the number of connections up to which none is closed early
+     * @param maxServed the number of connections up to which requests are served
+     * @param maxAccepted the number of connections that are accepted; those above {@code maxServed} only to be refused
+     * @param requestConnections the number of connections that clients have for requests in progress, over all processes of
+     *     the sidecar
      */
     public record Limits(int evictionThreshold, int maxServed, int maxAccepted, int requestConnections) {}
 
-    private static final long SWEEP_MS = 100;
-    /** Well within the time after which nothing may be sent for a client that has left. */
-    private static final long VERIFY_MS = 50;
+    private static final long SWEEP_INTERVAL_MS = 100;
+    /** The interval between polls; well below the 100 ms after which nothing may be sent for a client that has disconnected. */
+    private static final long POLL_INTERVAL_MS = 50;
 
-    private static final int VERIFICATIONS_OF_ALL = 8;
-    /** Of what all clients have sent and nobody has taken up yet. */
-    private static final long MOST_HELD = 4L << 20;
-    /** What one connection that is used again, or is closed unused after its first request, says of them all. */
+    private static final int POLLS_PER_FULL_POLL = 8;
+    /** The limit on what all clients have sent and nobody has processed yet. */
+    private static final long MAX_BUFFERED_BYTES = 4L << 20;
+    /** The weight in {@code reuseRatio} of one connection that is reused, or is closed unused after its first request. */
     private static final double REUSE_STEP = 0.05;
 
-    private static final double MOST_REUSE = 0.5;
-    private static final int LEFT_OPEN = 8;
-    /** Of the client's connections: so many requests may come at once before the first of them is refused. */
-    private static final double SPARE_PART = 0.15;
+    private static final double REUSE_THRESHOLD = 0.5;
+    private static final int CLOSE_CANDIDATES_PER_KEPT = 8;
     /**
-     * While two processes are here: each has less of the core and is held up for longer, so that more comes before it looks,
-     * and a request that finds no connection costs far more then than one that is told to come back.
+     * The share of the client's connections that is kept free: that many requests may arrive at once before the first is
+     * refused.
      */
-    private static final double SPARE_IN_COMPANY = 0.35;
+    private static final double RESERVED_SHARE = 0.15;
+    /**
+     * The same while two processes of the sidecar run. Each has a smaller share of the CPU and stalls for longer, so that
+     * more requests arrive before it reads them; and a request that finds no connection costs far more then than one that is
+     * refused.
+     */
+    private static final double RESERVED_SHARE_BESIDE_OTHER_PROCESS = 0.35;
 
-    private final RequestHandler driver;
+    private final RequestHandler handler;
     private final Clock clock;
     private final Limits limits;
     private final DescriptorBudget descriptors;
@@ -78,20 +87,20 @@
     private boolean refusing;
     private boolean crowded;
     private long evictedConnections;
-    /** The part of the connections that are used again, as seen lately. */
-    private double reuse = 1;
+    /** The moving average of the share of connections that are reused. */
+    private double reuseRatio = 1;
 
-    private int closeable;
-    /** Requests of the client that another process of the sidecar has in hand. */
-    private int elsewhere;
+    private int closeCandidates;
+    /** The number of client requests in progress in another process of the sidecar. */
+    private int otherProcessRequests;
 
-    private boolean company;
+    private boolean otherProcessPresent;
     private long refusedRequests;
-    private long verifications;
-    /** What waits on all connections, in bytes. */
-    private long held;
+    private long polls;
+    /** The bytes that are queued on all connections. */
+    private long bufferedBytes;
 
-    /** @param identityHeader the field that names a request over all its tries; null if nobody asks for it */
+    /** @param identityHeader the header field that identifies a request over all its retries; null if none is used */
     public ClientServer(
             Settings settings,
             RequestHandler driver,
@@ -101,13 +110,13 @@
             String identityHeader,
             Log log) {
         this.identityHeader = identityHeader;
-        this.driver = driver;
+        this.handler = driver;
         this.clock = clock;
         this.limits = limits;
         this.descriptors = descriptors;
         this.retryAfterMs = settings.limits().maxRetryAfterMs();
         this.log = log;
-        this.acceptor = new ClientAcceptor(clock, log, this::room);
+        this.acceptor = new ClientAcceptor(clock, log, this::freeCapacity);
         this.classes = settings.classes();
         for (int i = 0; i < classes.size(); i++) {
             classOfPath.put("/" + classes.get(i).name(), i);
@@ -118,8 +127,10 @@
     }
 
     /**
-     * Begins to listen; the bootstrap brings the event loop, the kind of channel and its options. An {@code address} of null
-     * means that the channel listens already.
+     * Starts listening.
+     *
+     * @param bootstrap provides the channel type and its options
+     * @param address the address, or null if the channel is already listening
      */
     public ChannelFuture listen(ServerBootstrap bootstrap, EventLoop eventLoop, SocketAddress address) {
         bootstrap.childHandler(new ChannelInitializer<Channel>() {
@@ -132,27 +143,36 @@
                                 decoder,
                                 new HttpResponseEncoder(),
                                 reader,
-                                new ClientConnection(reader, ClientServer.this, driver, clock));
+                                new ClientConnection(reader, ClientServer.this, handler, clock));
             }
         });
         return acceptor.listen(bootstrap, eventLoop, address);
     }
 
-    /** Begins to look after connections and the listener; returns what does so. */
+    /** Starts the periodic checks of connections and listener, and returns them. */
     public List<SupervisedTask> startSweeps(EventLoop eventLoop) {
         return List.of(
-                PeriodicTask.start("sweep of the client's connections", eventLoop, clock, log, SWEEP_MS, this::sweep),
                 PeriodicTask.start(
-                        "verification of the client's connections", eventLoop, clock, log, VERIFY_MS, this::verify));
+                        "sweep of client connections", eventLoop, clock, log, SWEEP_INTERVAL_MS, this::sweep),
+                PeriodicTask.start(
+                        "polling of client connections",
+                        eventLoop,
+                        clock,
+                        log,
+                        POLL_INTERVAL_MS,
+                        this::pollConnections));
     }
 
-    /** Looks at connections of which the selector may tell nothing: often where a request is in hand, now and then at all. */
-    private void verify() {
-        boolean all = ++verifications % VERIFICATIONS_OF_ALL == 0;
-        List.copyOf(connections).forEach(connection -> connection.verify(all));
+    /**
+     * Polls connections for which the selector may report nothing: those with a request in progress each time, all others at
+     * a lower rate.
+     */
+    private void pollConnections() {
+        boolean all = ++polls % POLLS_PER_FULL_POLL == 0;
+        List.copyOf(connections).forEach(connection -> connection.pollChannel(all));
     }
 
-    /** From now on tells these of each connection that is accepted. */
+    /** Sets the stall detectors, which are notified of each accepted connection. */
     public void setStallDetectors(List<EventLoopStallDetector> loops) {
         stallDetectors = loops;
     }
@@ -165,9 +185,9 @@
         return connections.size();
     }
 
-    /** The class that a path begins with, or -1. */
+    /** Returns the request class that a path begins with, or -1. */
     int classOf(String path) {
-        // Names may come with escapes; the path goes on as it came.
+        // Class names may be percent-encoded; the path is forwarded as received.
         String name = path.indexOf('%') < 0 ? path : new QueryStringDecoder(path).path();
         return classOfPath.getOrDefault(name, -1);
     }
@@ -180,8 +200,8 @@
         return tenantOfName.getOrDefault(name, 0);
     }
 
-    void opened(ClientConnection connection) {
-        acceptor.accepted();
+    void connectionOpened(ClientConnection connection) {
+        acceptor.connectionAccepted();
         stallDetectors.forEach(EventLoopStallDetector::connectionAccepted);
         connections.add(connection);
         descriptors.acquire();
@@ -189,8 +209,8 @@
         acceptor.adjust();
     }
 
-    /** A connection has ended: gives back what it has taken, once. */
-    void closed(ClientConnection connection) {
+    /** Releases what a closed connection has held; further calls for it do nothing. */
+    void connectionClosed(ClientConnection connection) {
         if (!connections.remove(connection)) {
             return;
         }
@@ -198,37 +218,37 @@
         acceptor.adjust();
         if (crowded && connections.size() <= limits.maxServed() / 2) {
             crowded = false;
-            log.line("the client has " + connections.size() + " connections open: it is no longer crowded");
+            log.line("client connections open: " + connections.size() + "; no longer refusing requests over the limit");
         }
     }
 
-    /** How many more connections may be accepted. */
-    private int room() {
+    /** Returns how many more connections may be accepted. */
+    private int freeCapacity() {
         return Math.min(limits.maxAccepted() - connections.size(), descriptors.available());
     }
 
     /**
-     * Closes connections of no use while there are many, those that have been so for longest first, up to so many at
-     * once. Guards against clients that ask once and keep their connection, or that connect and say nothing: the
-     * client has only so many connections for requests, and most requests found none while these were kept.
+     * Closes unused connections while many are open, longest unused first, up to {@code most} at once. Clients have a
+     * limited number of connections for requests; while connections were kept whose clients send one request or none, most
+     * requests found no connection.
      */
     private void evict(int most) {
         double nowMs = clock.nowMs();
-        int tooMany = ending
+        int surplus = ending
                 ? 0
                 : descriptors.isExhausted() ? most : Math.min(most, connections.size() - limits.evictionThreshold());
-        evict(tooMany, connection -> connection.isSpare(nowMs));
-        if (!ending && !reuses()) {
+        evict(surplus, connection -> connection.isSurplus(nowMs));
+        if (!ending && !reusesConnections()) {
             evict(
                     Math.min(most, connections.size() - limits.evictionThreshold() / 2),
-                    connection -> connection.isJunk(nowMs));
+                    connection -> connection.isSingleUseSurplus(nowMs));
         }
     }
 
-    private void evict(int most, Predicate<ClientConnection> of) {
+    private void evict(int most, Predicate<ClientConnection> filter) {
         if (most > 0) {
             connections.stream()
-                    .filter(of)
+                    .filter(filter)
                     .sorted(Comparator.comparingDouble(ClientConnection::freeSinceMs))
                     .limit(most)
                     .toList()
@@ -237,91 +257,93 @@
     }
 
     private void evict(ClientConnection connection) {
-        boolean once = connection.askedOnce();
+        boolean servedOnce = connection.hasServedOnce();
         connection.retire(() -> {
             evictedConnections++;
-            reuse -= once ? reuse * REUSE_STEP : 0;
+            reuseRatio -= servedOnce ? reuseRatio * REUSE_STEP : 0;
         });
     }
 
-    /** A second request has come on a connection. */
-    void reused() {
-        reuse += (1 - reuse) * REUSE_STEP;
+    /** Records that a connection has carried a second request. */
+    void connectionReused() {
+        reuseRatio += (1 - reuseRatio) * REUSE_STEP;
     }
 
-    private boolean reuses() {
-        return reuse >= MOST_REUSE;
+    private boolean reusesConnections() {
+        return reuseRatio >= REUSE_THRESHOLD;
     }
 
     /**
-     * Whether a connection is to be closed with the answer to its first request. Guards the client's few connections
-     * where each request comes on a new one and the old ones are kept: they were all taken, and most requests found none.
-     * Some are left open, to see whether that still holds.
+     * Returns whether a connection is to be closed with the answer to its first request. Where each request arrives on a new
+     * connection and the old ones are kept, they took all of the client's few connections, and most requests found none.
+     * Some connections are kept open to detect whether that still holds.
      */
-    boolean closesAtOnce() {
+    boolean closesAfterFirstAnswer() {
         return !ending
-                && !reuses()
+                && !reusesConnections()
                 && connections.size() > limits.evictionThreshold() / 2
-                && ++closeable % LEFT_OPEN != 0;
+                && ++closeCandidates % CLOSE_CANDIDATES_PER_KEPT != 0;
     }
 
-    /** Whether so many bytes more may wait. */
-    boolean hasRoomFor(long bytes) {
-        return held + bytes < MOST_HELD;
+    /** Returns whether this many more bytes may be queued. */
+    boolean hasCapacityFor(long bytes) {
+        return bufferedBytes + bytes < MAX_BUFFERED_BYTES;
     }
 
-    void holds(long bytes) {
-        held += bytes;
+    void addBufferedBytes(long bytes) {
+        bufferedBytes += bytes;
     }
 
-    /** A request is refused that came while too many waited. */
-    void tooMany() {
+    /** Counts a request that is refused because too many are queued on its connection. */
+    void countRefusal() {
         refusedRequests++;
     }
 
-    /** From now on asks this before connections are closed. Before the first is accepted. */
+    /** Sets the guard that is asked before connections are closed. To be called before the first connection is accepted. */
     public void setGuard(InvariantGuard invariants) {
         guard = invariants;
     }
 
-    /** Whether what is accepted now may have stood in the backlog for a while. */
-    boolean heldBackOfLate() {
-        return acceptor.heldBackOfLate();
+    /** Returns whether connections accepted now may have waited in the backlog. */
+    boolean recentlyDelayed() {
+        return acceptor.recentlyDelayed();
     }
 
     InvariantGuard guard() {
         return guard;
     }
 
-    /** Notes a request that is failed because of a fault of this program. */
-    void failed(Throwable cause) {
-        log.line("a request failed on a fault of this program: " + cause);
+    /** Logs a request that failed because of an unexpected error in this program. */
+    void logFailure(Throwable cause) {
+        log.line("request failed on a fault of this program: " + cause);
     }
 
-    /** Notes a request that is failed because nothing can be read on its connection. */
-    void unreadable() {
-        log.line(
-                "a client's connection can't be read: its request is failed, for whether the client left can't be seen");
+    /** Logs a request that is failed because its connection is unreadable. */
+    void logUnreadable() {
+        log.line("a client connection can't be read: failing its request, since a disconnect would go unnoticed");
     }
 
-    /** Notes that who sent half a request, or can't be read, is told so, so long after it began to wait, in milliseconds. */
-    void toldUnread(double afterMs) {
-        log.line("half a request, or one that can't be read, is answered with 408, " + Math.round(afterMs)
+    /**
+     * Logs that a partial or unreadable request is answered with a timeout, this many milliseconds after its client
+     * connected.
+     */
+    void logRequestTimeout(double afterMs) {
+        log.line("answering a request that is partial or can't be read with 408, " + Math.round(afterMs)
                 + " ms after its client connected");
     }
 
-    /** Notes a connection that was about to be closed when something came on it. */
-    void spared() {
-        log.line("a client's connection that looked unused was not closed: a request had come on it");
+    /** Logs that a connection was about to be closed as unused when input arrived on it. */
+    void logRetirementCancelled() {
+        log.line("not closing a client connection that looked unused: a request has arrived on it");
     }
 
     private void sweep() {
-        acceptor.look(); // descriptors may have come free on the other side
+        acceptor.check(); // the upstream side may have released descriptors
         double nowMs = clock.nowMs();
-        // When ending, those that have brought requests are kept: the client gets no others.
+        // While the process ends, connections that have carried requests are kept: the client gets no others.
         List.copyOf(connections).forEach(connection -> connection.endStalled(nowMs));
         List.copyOf(connections).stream()
-                .filter(connection -> connection.isUseless(nowMs, ending))
+                .filter(connection -> connection.hasTimedOut(nowMs, ending))
                 .forEach(this::evict);
         evict(connections.size());
         Standby standby = standby();
@@ -330,108 +352,113 @@
         }
     }
 
-    /** Requests refused so far for want of descriptors, or of connections that the client could still open. */
+    /** Returns the number of requests refused for lack of file descriptors, or to keep some of the client's connections free. */
     public long refusedRequests() {
         return refusedRequests;
     }
 
-    /** Connections closed so far because no request came on them. */
+    /** Returns the number of connections closed because they were unused. */
     public long evictedConnections() {
         return evictedConnections;
     }
 
     /**
-     * Whether a request is one too many for the descriptors. Guards against clients that are left in the backlog: what
-     * they send there is taken, and was lost by the thousand when nobody read it before its deadline. It is refused at
-     * once instead, before the module hears of it, and its connection closed.
+     * Returns whether a request exceeds the number of connections that are served. Clients beyond it are still accepted and
+     * refused at once, before the decision module is involved, and their connections closed: if they stayed in the backlog,
+     * their requests would be sent all the same, and thousands were lost because nobody read them before their deadline.
      */
-    boolean overfull() {
-        boolean overfull = refusing || connections.size() > limits.maxServed();
-        refusedRequests += overfull ? 1 : 0;
-        if (overfull && !crowded && !refusing) {
+    boolean isOverCapacity() {
+        boolean overCapacity = refusing || connections.size() > limits.maxServed();
+        refusedRequests += overCapacity ? 1 : 0;
+        if (overCapacity && !crowded && !refusing) {
             crowded = true;
-            log.line("the client has " + connections.size() + " connections open, " + driver.unanswered()
-                    + " requests in hand: refusing what comes beyond " + limits.maxServed());
+            log.line("client connections open: " + connections.size() + ", requests in progress: "
+                    + handler.unanswered() + "; refusing requests on connections beyond " + limits.maxServed());
         }
-        return overfull;
+        return overCapacity;
     }
 
-    /** Tells whether another process of the sidecar is here. */
+    /** Sets whether another process of the sidecar is running. */
     public void setOtherProcessPresent(boolean another) {
-        company = another;
-        elsewhere = another ? elsewhere : 0;
+        otherProcessPresent = another;
+        otherProcessRequests = another ? otherProcessRequests : 0;
     }
 
-    /** Tells how many requests of the client that one has in hand. */
+    /** Sets the number of client requests in progress in the other process. */
     public void setOtherProcessRequests(int requests) {
-        elsewhere = company ? requests : 0;
+        otherProcessRequests = otherProcessPresent ? requests : 0;
     }
 
     /**
-     * Whether a request takes one of the last free connections that the client has: of those here when ending, for it can't
-     * replace them then; of all that it has for requests where another process may take over at any time, for it is too
-     * late to make room once that one is here. Guards against a client that finds none: what it sends next,
-     * whatever that is worth, never gets here, and after the signal to end it was seen to send nothing more, on any of them,
-     * until the next process was there. Such a request is refused at once, and its connection is free again. It does harm
-     * where a client would have waited for the next free connection instead.
+     * Returns whether a request takes one of the last free connections that the client has. While the process ends, these
+     * are the connections open here, because the client can't replace them. Where another process may take over at any time,
+     * they are all that the client has for requests, because once that process runs it is too late to free some. A client
+     * without a free connection can't send its next request, however valuable; after a shutdown signal a client was seen to
+     * send nothing more on any connection until the next process had started. Such a request is refused at once, which frees
+     * its connection. The drawback: a client that would have waited for the next free connection is refused instead.
      */
-    boolean takesTheLast() {
+    boolean takesReservedConnection() {
         if (!ending && !acceptor.isShared()) {
             return false;
         }
-        int all = ending ? connections.size() : limits.requestConnections();
-        int inHand = driver.unanswered() + (ending ? 0 : elsewhere);
-        // Never all that it has: a client with one connection was refused everything after the signal to end.
-        int spare = Math.min(all - 1, (int) Math.ceil(all * (company && !ending ? SPARE_IN_COMPANY : SPARE_PART)));
-        boolean last = inHand >= all - spare;
-        refusedRequests += last ? 1 : 0;
-        return last;
+        int total = ending ? connections.size() : limits.requestConnections();
+        int inProgress = handler.unanswered() + (ending ? 0 : otherProcessRequests);
+        // Never all connections: otherwise a client with one connection is refused everything during shutdown.
+        int reserved = Math.min(total - 1, (int) Math.ceil(
+                total * (otherProcessPresent && !ending ? RESERVED_SHARE_BESIDE_OTHER_PROCESS : RESERVED_SHARE)));
+        boolean takesReserved = inProgress >= total - reserved;
+        refusedRequests += takesReserved ? 1 : 0;
+        return takesReserved;
     }
 
     double retryAfterMs() {
         return retryAfterMs;
     }
 
-    /** Whether each answer ends its connection. */
+    /** Returns whether each answer closes its connection. */
     boolean draining() {
         return draining || standby().compareTo(Standby.ENDING) >= 0;
     }
 
-    /** Sends clients away since this time, Unix time in milliseconds; 0 takes them again. */
+    /** Sends clients away from this time on, in Unix milliseconds; 0 serves them again. */
     public void setStandbySince(double sinceMs) {
         standbySinceMs = sinceMs;
     }
 
-    /** Whether new clients are to come. */
+    /** Returns whether new clients are to use this sidecar. */
     boolean ready() {
-        return driver.ready() && standby() == Standby.OFF;
+        return handler.ready() && standby() == Standby.OFF;
     }
 
     private Standby standby() {
         return Standby.at(standbySinceMs, clock.nowMs());
     }
 
-    /** From now on no connection is closed for others' sake: the client gets no new ones. */
+    /** Stops closing connections to make room for others, since the client gets no new ones. */
     public void retainConnections() {
         ending = true;
     }
 
-    /** From now on each answer ends its connection. */
+    /** Closes each connection with its next answer. */
     public void drain() {
         draining = true;
     }
 
-    /** From now on nothing is taken any more: the process ends before it could be answered. */
+    /** Refuses all further requests, because the process ends before they could be answered. */
     public void refuseAll() {
         refusing = true;
     }
 
-    /** Closes the connections on which no request is at hand, {@code partial}: also those on which half a one has come. */
-    public void closeIdle(boolean partial) {
-        List.copyOf(connections).forEach(connection -> connection.closeIfIdle(partial));
+    /**
+     * Closes the connections without a request in progress.
+     *
+     * @param evenPartial whether to include those with a partial request
+     */
+    public void closeIdle(boolean evenPartial) {
+        List.copyOf(connections).forEach(connection -> connection.closeIfIdle(evenPartial));
     }
 
-    /** Accepts nothing more; the listening socket is left as it is where it may be another process's as well. */
+    /** Stops accepting. The listening socket stays open if other processes may share it. */
     public void stopListening() {
         acceptor.stop();
     }
--- a/src/main/java/ivybank/client/ClientSocketChannel.java
+++ b/src/main/java/ivybank/client/ClientSocketChannel.java
@@ -3,21 +3,21 @@
 import io.netty.channel.Channel;
 import ivybank.transport.RetryingSocketChannel;
 
-/** A connection that a client has made. */
+/** An accepted client connection. */
 final class ClientSocketChannel extends RetryingSocketChannel {
 
-    /** As long as a client that says nothing is kept: one on which no read succeeds says no more. */
-    private static final double LONGEST_FAILURE_MS = 2500;
+    /** The time for which failing reads are retried: as long as a silent client is kept. */
+    private static final double FAILURE_TIMEOUT_MS = 2500;
 
-    private final AcceptedConnection accepted;
+    private final AcceptedConnection acceptedConnection;
 
     ClientSocketChannel(Channel parent, AcceptedConnection accepted) {
-        super(parent, accepted.socket(), LONGEST_FAILURE_MS);
-        this.accepted = accepted;
+        super(parent, accepted.socket(), FAILURE_TIMEOUT_MS);
+        this.acceptedConnection = accepted;
     }
 
-    /** The connection as it was accepted. */
-    AcceptedConnection accepted() {
-        return accepted;
+    /** Returns the connection as it was accepted. */
+    AcceptedConnection acceptedConnection() {
+        return acceptedConnection;
     }
 }
--- a/src/main/java/ivybank/client/RequestDecoder.java
+++ b/src/main/java/ivybank/client/RequestDecoder.java
@@ -5,12 +5,15 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.ReferenceCountUtil;
 
-/** Netty's decoder of requests, made strict, and telling whether a request has begun that is not whole yet. */
+/** A strict version of Netty's request decoder, which also tells whether a partial request has been received. */
 final class RequestDecoder extends HttpRequestDecoder {
 
     private boolean discarding;
 
-    /** From now on what comes is read, so that an end behind it is seen, but not looked at: that takes too long. */
+    /**
+     * Discards all further input. It is still read, so that an end of stream behind it is noticed, but not parsed, which
+     * would take too long.
+     */
     void discard() {
         discarding = true;
     }
@@ -24,14 +27,17 @@
         }
     }
 
-    /** Whether bytes have come that are no request yet. */
-    boolean holdsPart() {
+    /** Returns whether bytes have been received that do not form a request yet. */
+    boolean hasPartialInput() {
         return actualReadableBytes() > 0;
     }
 
-    /** Guards against a request that hides in the body of another one: Netty would drop the length and go on. */
+    /**
+     * Rejects a request with both Content-Length and Transfer-Encoding, which may hide another request in its body. Netty
+     * would drop the length and continue.
+     */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both a length and a transfer coding");
+        throw new IllegalArgumentException("request has both Content-Length and Transfer-Encoding");
     }
 }
--- a/src/main/java/ivybank/client/RequestFields.java
+++ b/src/main/java/ivybank/client/RequestFields.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Reads the fields of a request strictly. Guards healthy upstreams: they close on what they can't read, whatever else
- * waits there, and turn away what they can't use, and each of that would count against them.
+ * Reads request header fields strictly. A node closes a connection on which it reads a malformed request, with whatever else
+ * is in progress there, and rejects values that it can't use; each of these would count against a healthy node.
  */
 final class RequestFields {
 
-    private static final int LONGEST_TOKEN = 128;
-    private static final int MOST_DIGITS = 7; // less than three hours in milliseconds
+    private static final int MAX_TOKEN_LENGTH = 128;
+    private static final int MAX_DIGITS = 7; // less than three hours in milliseconds
 
     private final HttpHeaders headers;
 
@@ -18,26 +18,29 @@
         this.headers = headers;
     }
 
-    /** The value of a field that names something, as it came; null if it is absent, repeated or unfit to send on. */
+    /** Returns the value of a field that holds a name, as received; null if it is absent, repeated or not fit to forward. */
     String token(String name) {
         List<String> values = headers.getAll(name);
-        boolean fit = values.size() == 1 && values.get(0).length() <= LONGEST_TOKEN && isPlain(values.get(0));
-        return fit ? values.get(0) : null;
+        boolean valid = values.size() == 1 && values.get(0).length() <= MAX_TOKEN_LENGTH && isPlain(values.get(0));
+        return valid ? values.get(0) : null;
     }
 
     boolean isTokenOrAbsent(String name) {
         return !headers.contains(name) || token(name) != null;
     }
 
-    /** Whole milliseconds, in digits alone; 0 if the field is absent, repeated, malformed or out of reason. */
+    /**
+     * Returns a field's value in whole milliseconds, which must be in decimal digits alone; 0 if it is absent, repeated,
+     * malformed or too large.
+     */
     int milliseconds(String name) {
         String text = token(name);
-        boolean digits =
-                text != null && text.length() <= MOST_DIGITS && text.chars().allMatch(c -> c >= '0' && c <= '9');
-        return digits ? Integer.parseInt(text) : 0;
+        boolean isNumber =
+                text != null && text.length() <= MAX_DIGITS && text.chars().allMatch(c -> c >= '0' && c <= '9');
+        return isNumber ? Integer.parseInt(text) : 0;
     }
 
-    /** The target as a path, also where it came with the server's name in front (RFC 9112, 3.2.2). */
+    /** Returns the request target as a path, also if it was sent with the server's name (RFC 9112, section 3.2.2). */
     static String originForm(String target) {
         if (!target.regionMatches(true, 0, "http://", 0, "http://".length())) {
             return target;
@@ -46,7 +49,7 @@
         return path < 0 ? "/" : target.substring(path);
     }
 
-    /** Whether it is written in visible ASCII and not empty. */
+    /** Returns whether the text consists of visible ASCII characters and is not empty. */
     static boolean isPlain(String text) {
         return !text.isEmpty() && text.chars().allMatch(c -> c > ' ' && c < 127);
     }
--- a/src/main/java/ivybank/client/RequestReader.java
+++ b/src/main/java/ivybank/client/RequestReader.java
@@ -20,132 +20,133 @@
 import java.io.IOException;
 
 /**
- * Puts requests together and passes them on as {@link Read}: whole ones, and the beginning of those that are too long to be
- * kept, whose rest follows through a pipe. The first thing that can't be read is passed on as the status that it is owed,
- * and nothing behind it is looked at. Guards against requests that hide behind what this sidecar and an upstream would read
- * in two ways, and against bodies without end.
+ * Assembles requests and passes them on as {@link RequestEvent}s: complete ones, and the beginning of those too long to be
+ * buffered, whose remaining body follows through a pipe. The first malformed input is passed on as the status that answers
+ * it, and nothing behind it is parsed. This prevents request smuggling, where this sidecar and a node would interpret a
+ * message differently, and bounds bodies.
  */
 final class RequestReader extends SimpleChannelInboundHandler<HttpObject> {
 
     /**
-     * A whole request; or the beginning of one, with its {@code rest}; or, with a {@code status}, the end of all that can be
-     * read; or {@link #LAST}.
+     * A complete request; the beginning of a long one, with its {@code remainingBody}; the end of all valid input, with a
+     * {@code status}; or {@link #BODY_COMPLETE}.
      */
-    record Read(HttpRequest head, byte[] body, int status, BodyPipe rest) {
+    record RequestEvent(HttpRequest head, byte[] body, int status, BodyPipe remainingBody) {
 
-        /** The last byte of a long request has come. */
-        static final Read LAST = new Read(null, null, 0, null);
+        /** The last byte of a long request has been read. */
+        static final RequestEvent BODY_COMPLETE = new RequestEvent(null, null, 0, null);
     }
 
     private final RequestDecoder decoder;
     private BodyPipe.Source source;
     private HttpRequest head;
     private ByteArrayOutputStream body;
-    private BodyPipe rest;
+    private BodyPipe remainingBody;
     private long bodyBytes;
     private boolean unreadable;
-    /** The body whose last byte has come, until the end of the next pass over the sockets. */
-    private BodyPipe ending;
+    /** The body whose last byte has been read, until the end of the next pass over the sockets. */
+    private BodyPipe completedBody;
 
-    private ByteBuf lastPart;
+    private ByteBuf finalChunk;
 
     RequestReader(RequestDecoder decoder) {
         this.decoder = decoder;
     }
 
-    /** Who is told how the rest of a long request is taken. */
-    void source(BodyPipe.Source of) {
-        source = of;
+    /** Sets who is notified of the demand for the rest of a long request. */
+    void setSource(BodyPipe.Source bodySource) {
+        source = bodySource;
     }
 
-    /** Whether a request has begun that is not whole yet. */
-    boolean midRequest() {
-        return !unreadable && (head != null || decoder.holdsPart());
+    /** Returns whether a partial request has been received. */
+    boolean isMidRequest() {
+        return !unreadable && (head != null || decoder.hasPartialInput());
     }
 
-    /** From now on nothing that comes is looked at. */
+    /** Stops parsing input. */
     void stop() {
         unreadable = true;
         decoder.discard();
     }
 
-    /** What has come of the body of the request that has begun. */
+    /** Returns the number of body bytes received of the current request. */
     long bodyBytes() {
         return bodyBytes;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws IOException {
-        endRest(ctx);
+        completeBody(ctx);
         if (unreadable) {
             return;
         }
-        int status = take(ctx, message);
+        int status = accept(ctx, message);
         if (status > 0) {
             stop();
-            BodyPipe broken = rest;
+            BodyPipe abortedBody = remainingBody;
             reset();
-            ctx.fireChannelRead(new Read(null, null, status, null));
-            if (broken != null) {
-                broken.end(false);
+            ctx.fireChannelRead(new RequestEvent(null, null, status, null));
+            if (abortedBody != null) {
+                abortedBody.end(false);
             }
         } else if (message instanceof LastHttpContent) {
-            BodyPipe ended = rest;
-            Read whole = ended != null ? null : new Read(head, body.toByteArray(), 0, null);
+            BodyPipe endedBody = remainingBody;
+            RequestEvent complete = endedBody != null ? null : new RequestEvent(head, body.toByteArray(), 0, null);
             reset();
-            if (ended != null) {
-                ending = ended;
-                NextSelect.runAfter(ctx.executor(), () -> endRest(ctx));
+            if (endedBody != null) {
+                completedBody = endedBody;
+                NextSelect.runAfter(ctx.executor(), () -> completeBody(ctx));
             } else {
-                ctx.fireChannelRead(whole);
+                ctx.fireChannelRead(complete);
             }
         }
     }
 
     /**
-     * Guards nodes against a long request whose client has left while nobody took its body: its end and the client's stand in the
-     * socket one behind the other, and the last byte goes on only when there is no end behind it.
+     * Passes on the last part of a long request's body, one pass over the sockets after it was read. Where nobody consumed
+     * the body for a while, the client's end of stream may follow it in the socket; the last byte is sent to a node only if
+     * it does not.
      */
-    private void endRest(ChannelHandlerContext ctx) {
-        if (ending != null) {
-            BodyPipe ended = ending;
-            ending = null;
-            ByteBuf last = lastPart;
-            lastPart = null;
-            ended.write(last);
-            ended.end(true);
-            ctx.fireChannelRead(Read.LAST);
+    private void completeBody(ChannelHandlerContext ctx) {
+        if (completedBody != null) {
+            BodyPipe endedBody = completedBody;
+            completedBody = null;
+            ByteBuf lastPart = finalChunk;
+            finalChunk = null;
+            endedBody.write(lastPart);
+            endedBody.end(true);
+            ctx.fireChannelRead(RequestEvent.BODY_COMPLETE);
         }
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) {
-        if (lastPart != null) {
-            lastPart.release();
-            lastPart = null;
+        if (finalChunk != null) {
+            finalChunk.release();
+            finalChunk = null;
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        ending = null; // the client has left: it stays as it is, not whole
+        completedBody = null; // the client has disconnected: the body stays incomplete
         ctx.fireChannelInactive();
     }
 
     private void reset() {
         head = null;
         body = null;
-        rest = null;
+        remainingBody = null;
         bodyBytes = 0;
     }
 
-    /** Takes a part of a request; returns the status that it is owed if it can't be used, else 0. */
-    private int take(ChannelHandlerContext ctx, HttpObject message) throws IOException {
+    /** Accepts a part of a request, and returns the status to answer if it is invalid, else 0. */
+    private int accept(ChannelHandlerContext ctx, HttpObject message) throws IOException {
         if (message.decoderResult().isFailure()) {
             return HttpStatus.BAD_REQUEST;
         }
-        if (message instanceof HttpRequest next) {
-            int status = begin(ctx, next);
+        if (message instanceof HttpRequest request) {
+            int status = acceptHead(ctx, request);
             if (status > 0) {
                 return status;
             }
@@ -154,17 +155,17 @@
             ByteBuf part = content.content();
             bodyBytes += part.readableBytes();
             if (bodyBytes > Framing.MAX_BODY_BYTES) {
-                return HttpStatus.TOO_LARGE;
+                return HttpStatus.CONTENT_TOO_LARGE;
             }
-            if (rest == null && bodyBytes > Framing.MAX_BUFFERED_BODY_BYTES) {
-                rest = new BodyPipe(source);
-                ctx.fireChannelRead(new Read(head, body.toByteArray(), 0, rest));
+            if (remainingBody == null && bodyBytes > Framing.MAX_BUFFERED_BODY_BYTES) {
+                remainingBody = new BodyPipe(source);
+                ctx.fireChannelRead(new RequestEvent(head, body.toByteArray(), 0, remainingBody));
                 body = null;
             }
-            if (rest != null && message instanceof LastHttpContent) {
-                lastPart = part.retain(); // with it the node would have all
-            } else if (rest != null) {
-                rest.write(part.retain());
+            if (remainingBody != null && message instanceof LastHttpContent) {
+                finalChunk = part.retain(); // sending it would complete the request at the node
+            } else if (remainingBody != null) {
+                remainingBody.write(part.retain());
             } else {
                 part.readBytes(body, part.readableBytes());
             }
@@ -172,20 +173,20 @@
         return 0;
     }
 
-    private int begin(ChannelHandlerContext ctx, HttpRequest next) {
-        head = next;
+    private int acceptHead(ChannelHandlerContext ctx, HttpRequest request) {
+        head = request;
         body = new ByteArrayOutputStream(0);
-        if (!Framing.isUnambiguous(next)) {
+        if (!Framing.isUnambiguous(request)) {
             return HttpStatus.BAD_REQUEST;
         }
-        if (Framing.isTooLong(next)) {
-            return HttpStatus.TOO_LARGE;
+        if (Framing.isTooLong(request)) {
+            return HttpStatus.CONTENT_TOO_LARGE;
         }
-        if (HttpUtil.is100ContinueExpected(next)) {
-            // A client that waits for leave to send its body is given it at once.
+        if (HttpUtil.is100ContinueExpected(request)) {
+            // A client that waits for 100 Continue gets it at once.
             ctx.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
-        } else if (next.headers().contains(HttpHeaderNames.EXPECT)) {
+        } else if (request.headers().contains(HttpHeaderNames.EXPECT)) {
             return HttpStatus.EXPECTATION_FAILED;
         }
         return 0;
--- a/src/main/java/ivybank/client/package-info.java
+++ b/src/main/java/ivybank/client/package-info.java
@@ -1,2 +1,2 @@
-/** The client side: connections, reading requests, writing answers. */
+/** Client connections: accepting them, reading requests and writing answers. */
 package ivybank.client;
