--- a/src/main/java/ivybank/exchange/Answer.java
+++ b/src/main/java/ivybank/exchange/Answer.java
@@ -3,8 +3,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A final answer to the client; {@code retryAfterMs} 0 gives no advice. Of a long one {@code body} is the beginning and
- * {@code rest} what is still to come, else null; {@code length} is that of all, or -1 where only its end will tell.
+ * A final answer to the client.
+ *
+ * @param status the HTTP status
+ * @param contentType the media type of the body, or null
+ * @param body the body, or the beginning of a long one
+ * @param retryAfterMs the delay to announce in Retry-After, in milliseconds; 0 for none
+ * @param remainingBody the rest of a long body, or null
+ * @param contentLength the length of the whole body in bytes, or -1 if it is unknown until its end
  */
 public record Answer(
         int status, String contentType, byte[] body, double retryAfterMs, BodyPipe remainingBody, long contentLength) {
@@ -19,7 +25,7 @@
         return new Answer(200, contentType, body, 0);
     }
 
-    /** One whose end is still to come. */
+    /** Returns an answer whose remaining body is still to come. */
     public static Answer streamed(String contentType, byte[] body, BodyPipe rest, long length) {
         return new Answer(200, contentType, body, 0, rest, length);
     }
@@ -28,17 +34,17 @@
         return new Answer(503, null, NO_BODY, retryAfterMs);
     }
 
-    /** A failure with its reason in words. */
+    /** Returns an answer that states why a request failed. */
     public static Answer failure(int status, String reason) {
         return new Answer(status, "text/plain", (reason + "\n").getBytes(StandardCharsets.UTF_8), 0);
     }
 
-    /** Whether a node has served it. */
+    /** Returns whether a node has served the request. */
     public boolean isServed() {
         return status == 200;
     }
 
-    /** Whether it says that trying again is harmless. */
+    /** Returns whether the answer means that a retry is harmless. */
     public boolean isRefusal() {
         return status == 503 || status == 429;
     }
--- a/src/main/java/ivybank/exchange/BodyPipe.java
+++ b/src/main/java/ivybank/exchange/BodyPipe.java
@@ -5,71 +5,80 @@
 import java.util.Deque;
 
 /**
- * What is still to come of a long body, from the side that reads it to the side that writes it. Holds what has come until
- * somebody takes it; the reader is told to stop meanwhile and whenever the writer can take no more, so that it holds little
- * more than what the reader reads all the same. Ends once: whole, broken by the reader, or left by the writer. Used on one event loop.
+ * The remaining part of a long body, passed from the side that reads it to the side that writes it. Buffers what has been
+ * read until it is consumed. The reader is told to stop meanwhile, and whenever the writer can't accept more, so that the
+ * buffer holds little more than the reader reads in spite of that. Ends once: completed or aborted by the reader, or
+ * abandoned by the writer. Used on one event loop.
  */
 public final class BodyPipe {
 
-    /** Reads the body. */
+    /** The side that reads the body. */
     public interface Source {
 
-        /** Whether more is wanted now. */
+        /** Sets whether more is to be read now. */
         void setDemand(boolean more);
 
-        /** Nobody takes the rest. */
+        /** Notifies that nobody will consume the rest. */
         void abandoned();
     }
 
-    /** Writes the body; owns the parts that it is given. */
+    /** The side that writes the body; it owns the buffers passed to it. */
     public interface Sink {
 
         void write(ByteBuf part);
 
-        /** Nothing more comes; {@code whole}: it was all. */
-        void ended(boolean whole);
+        /**
+         * Notifies that nothing more follows.
+         *
+         * @param complete whether the body is complete
+         */
+        void ended(boolean complete);
     }
 
     private final Source source;
-    private final Deque<ByteBuf> held = new ArrayDeque<>();
+    private final Deque<ByteBuf> buffered = new ArrayDeque<>();
     private long bufferedBytes;
     private Sink sink;
-    private boolean taken;
-    /** Whether the sink can take no more at once. */
+    private boolean attached;
+    /** Whether the sink can't accept more at the moment. */
     private boolean paused;
 
     private boolean delivering;
     private boolean ended;
-    private boolean whole;
-    private boolean told;
-    private boolean left;
+    private boolean complete;
+    private boolean endDelivered;
+    private boolean abandoned;
 
     public BodyPipe(Source source) {
         this.source = source;
     }
 
-    /** Passes a part on, which this owns from now on. */
+    /** Passes on a part of the body; takes ownership of the buffer. */
     public void write(ByteBuf part) {
-        if (left || ended || !part.isReadable()) {
+        if (abandoned || ended || !part.isReadable()) {
             part.release();
             return;
         }
-        held.addLast(part);
+        buffered.addLast(part);
         bufferedBytes += part.readableBytes();
         deliver();
-        if (!held.isEmpty() && !left) {
+        if (!buffered.isEmpty() && !abandoned) {
             source.setDemand(false);
         }
     }
 
-    /** Ends it; {@code all}: what was passed on is the whole rest. */
-    public void end(boolean all) {
-        if (ended || left) {
+    /**
+     * Ends the body.
+     *
+     * @param bodyComplete whether the body is complete
+     */
+    public void end(boolean bodyComplete) {
+        if (ended || abandoned) {
             return;
         }
         ended = true;
-        whole = all;
-        if (!all) {
+        complete = bodyComplete;
+        if (!bodyComplete) {
             release();
         }
         deliver();
@@ -80,59 +89,59 @@
             return;
         }
         delivering = true;
-        while (sink != null && !paused && !held.isEmpty()) {
-            ByteBuf part = held.pollFirst();
+        while (sink != null && !paused && !buffered.isEmpty()) {
+            ByteBuf part = buffered.pollFirst();
             bufferedBytes -= part.readableBytes();
             sink.write(part);
         }
         delivering = false;
-        if (sink != null && ended && !told && held.isEmpty()) {
-            told = true;
-            sink.ended(whole);
+        if (sink != null && ended && !endDelivered && buffered.isEmpty()) {
+            endDelivered = true;
+            sink.ended(complete);
         }
     }
 
-    /** Whether somebody takes it, or has: what went with that is gone. */
+    /** Returns whether a sink is or was attached; the buffered part is lost to any other. */
     public boolean isAttached() {
-        return taken;
+        return attached;
     }
 
-    /** Whether all has come. */
+    /** Returns whether the body has been read completely. */
     public boolean isComplete() {
-        return ended && whole;
+        return ended && complete;
     }
 
-    /** How much has come that nobody has taken yet, in bytes. */
+    /** Returns how much is buffered, in bytes. */
     public long bufferedBytes() {
         return bufferedBytes;
     }
 
-    /** Takes what has come and what comes. */
-    public void attach(Sink next) {
-        taken = true;
-        sink = next;
+    /** Attaches the sink, which gets the buffered part and what follows. */
+    public void attach(Sink newSink) {
+        attached = true;
+        sink = newSink;
         deliver();
-        if (!ended && !left && !paused) {
+        if (!ended && !abandoned && !paused) {
             source.setDemand(true);
         }
     }
 
-    /** Tells whether the sink can take more at once. */
+    /** Sets whether the sink can accept more at the moment. */
     public void setDemand(boolean more) {
         paused = !more;
         deliver();
-        if (!ended && !left) {
-            source.setDemand(!paused && held.isEmpty());
+        if (!ended && !abandoned) {
+            source.setDemand(!paused && buffered.isEmpty());
         }
     }
 
-    /** Nobody takes the rest. */
+    /** Drops the rest, which nobody will consume. */
     public void abandon() {
-        if (left) {
+        if (abandoned) {
             return;
         }
-        left = true;
-        taken = true;
+        abandoned = true;
+        attached = true;
         sink = null;
         release();
         if (!ended) {
@@ -141,8 +150,8 @@
     }
 
     private void release() {
-        while (!held.isEmpty()) {
-            held.pollFirst().release();
+        while (!buffered.isEmpty()) {
+            buffered.pollFirst().release();
         }
         bufferedBytes = 0;
     }
--- a/src/main/java/ivybank/exchange/ClientLink.java
+++ b/src/main/java/ivybank/exchange/ClientLink.java
@@ -1,15 +1,15 @@
 package ivybank.exchange;
 
-/** The connection on which a request came. Used on its event loop. */
+/** The connection on which a request was received. Used on its event loop. */
 public interface ClientLink {
 
-    /** Of a request that nobody waits for on a connection. */
+    /** The link of a request for which no client waits on a connection. */
     ClientLink NONE = () -> true;
 
     /**
-     * Reads what has come from the client, so that its end is seen however the connection fares, and tells whether something may be
-     * sent for it now. Where not, either its end was just seen and is about to be told, or nothing can be read for the moment: then
-     * this is to be asked again a little later.
+     * Reads pending input, so that the client's disconnect is noticed even if the selector does not report it, and returns
+     * whether something may be sent for the client now. If not, either the disconnect has just been read and is about to be
+     * reported, or the connection is unreadable at the moment and the caller should ask again shortly.
      */
     boolean verifyClientPresent();
 }
--- a/src/main/java/ivybank/exchange/ClientRequest.java
+++ b/src/main/java/ivybank/exchange/ClientRequest.java
@@ -3,11 +3,24 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A client's request as it goes on to upstreams; {@code idempotencyKey} is null where it came without one, {@code identity}
- * where it has none or nobody asks for it, {@code record} where nothing need be on record before it is sent. Of a long one {@code body} is the beginning and
- * {@code rest} what is still to come, {@code length} that of all or -1 where only its end will tell; its time counts from its
- * last byte, which comes after {@code arrivedMs}: when it was read. {@code earliestArrivalMs}: since when it may have stood in a
- * socket that could not be read before that. {@code client} is the connection on which it came.
+ * A client's request to be forwarded to an upstream.
+ *
+ * @param method the HTTP method
+ * @param uri the request target
+ * @param callId the ID that the client gave it
+ * @param idempotencyKey the key that identifies retries of it, or null
+ * @param body the body, or the beginning of a long one
+ * @param requestClass the index of its class
+ * @param tenant the index of its tenant
+ * @param clientRetry whether the client marked it as a retry
+ * @param arrivedMs when it was read; the time of a long request counts from its last byte, which arrives later
+ * @param earliestArrivalMs the earliest time at which it may have arrived, if its socket could not be read before that
+ * @param budgetMs the time that the client allows, in milliseconds
+ * @param identity the value that identifies it over all its retries; null if it has none or none is used
+ * @param sendRecord the record that must be made before it is sent, or null
+ * @param remainingBody the rest of a long body, or null
+ * @param contentLength the length of the whole body in bytes, or -1 if it is unknown until its end
+ * @param client the connection on which it was received
  */
 public record ClientRequest(
         HttpMethod method,
@@ -59,13 +72,13 @@
                 ClientLink.NONE);
     }
 
-    /** Whether its last byte has not come yet. */
+    /** Returns whether its last byte has not been received yet. */
     public boolean isIncomplete() {
         return remainingBody != null && !remainingBody.isComplete();
     }
 
-    /** The same, to be on record before it is sent. */
-    public ClientRequest withSendRecord(SendRecord kept) {
+    /** Returns the same request with a record that must be made before it is sent. */
+    public ClientRequest withSendRecord(SendRecord newSendRecord) {
         return new ClientRequest(
                 method,
                 uri,
@@ -79,7 +92,7 @@
                 earliestArrivalMs,
                 budgetMs,
                 identity,
-                kept,
+                newSendRecord,
                 remainingBody,
                 contentLength,
                 client);
--- a/src/main/java/ivybank/exchange/RequestHandler.java
+++ b/src/main/java/ivybank/exchange/RequestHandler.java
@@ -2,24 +2,24 @@
 
 import java.util.function.Consumer;
 
-/** Takes requests from the client's side. All of it is called on one event loop. */
+/** Handles the requests received from clients. All methods are called on one event loop. */
 public interface RequestHandler {
 
-    /** Whether requests can be served: upstreams are known. */
+    /** Returns whether requests can be served, that is, whether upstreams are known. */
     boolean ready();
 
-    /** Requests taken and not answered yet. */
+    /** Returns the number of requests that are not answered yet. */
     int unanswered();
 
-    /** Whether a request of this id, as its client gave it, is in hand and not answered yet. */
+    /** Returns whether a request with this client-assigned ID is in progress. */
     boolean isInFlight(String callId);
 
-    /** Takes a request, which {@code client} is told the one final answer of, perhaps at once; returns its number. */
+    /** Handles a request and returns its number. {@code client} receives its one final answer, possibly before this returns. */
     int handle(ClientRequest request, Consumer<Answer> client);
 
-    /** The last byte of a long request has come: its time counts from now on. */
+    /** Notifies that the last byte of a long request has been received, from which on its time counts. */
     void bodyCompleted(int number);
 
-    /** The client of a request no longer waits; nothing is owed to it. */
+    /** Cancels a request whose client no longer waits for its answer. */
     void cancel(int number);
 }
--- a/src/main/java/ivybank/exchange/SendRecord.java
+++ b/src/main/java/ivybank/exchange/SendRecord.java
@@ -1,20 +1,27 @@
 package ivybank.exchange;
 
-/** What must be on record of a request before its first byte goes to a node. Used on the event loop alone. */
+/** The record that must be made of a request before its first byte is sent to a node. Used on the event loop alone. */
 public interface SendRecord {
 
-    /** Whether it is on record that the request may go to nodes. */
+    /** Returns whether it is recorded that the request may be sent to nodes. */
     boolean isRecorded();
 
-    /** Puts it on record, and runs one of the two later on the event loop; asked again meanwhile, each is told. */
+    /**
+     * Makes the record, and later runs one of the two callbacks on the event loop. If it is called again meanwhile, the
+     * callbacks of each call are run.
+     */
     void record(Runnable recorded, Runnable failed);
 
-    /** An attempt goes out: from now on the request may run at a node. */
+    /** Notifies that an attempt is sent: from now on the request may run at a node. */
     void attemptStarted();
 
-    /** An attempt that went out has ended; {@code proved} if that proves that it has not run. */
-    void attemptEnded(boolean proved);
+    /**
+     * Notifies that a sent attempt has ended.
+     *
+     * @param provedNotRun whether that proves that it has not run
+     */
+    void attemptEnded(boolean provedNotRun);
 
-    /** A node has served it after its client was told something else, or had left. */
+    /** Notifies that a node served the request after its client had received another answer or had disconnected. */
     void servedLate(Answer answer);
 }
--- a/src/main/java/ivybank/exchange/package-info.java
+++ b/src/main/java/ivybank/exchange/package-info.java
@@ -1,2 +1,2 @@
-/** What a request and its answer are, between the client side and the upstream side. */
+/** Requests and their answers, as passed between the client side and the upstream side. */
 package ivybank.exchange;
