--- a/src/main/java/ivybank/transport/RetryingSocketChannel.java
+++ b/src/main/java/ivybank/transport/RetryingSocketChannel.java
@@ -11,71 +11,71 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A socket channel that tries a read or write again that failed for a moment, where Netty closes the connection at once and
- * loses what is in hand on it. Reading pauses in between, for the selector would report the same again and again.
+ * A socket channel that retries a read or write after a transient error, where Netty would close the connection and lose
+ * what is in progress on it. Reading pauses in between, because the selector would report the same socket again and again.
  */
 public class RetryingSocketChannel extends NioSocketChannel {
 
-    /** Fired in the pipeline when a read has failed and is tried again. */
+    /** Fired in the pipeline when a read has failed and is to be retried. */
     public enum Event {
         READ_FAILED
     }
 
-    /** What a look at a channel's input has found. */
+    /** The result of polling a channel's input. */
     public enum ReadResult {
-        /** All that has come was read, and the peer goes on or its end has just been read. */
+        /** All available input was read; the peer's end of stream, if it followed, has just been read as well. */
         EXHAUSTED,
-        /** Something was read; more may stand behind it. */
+        /** Data was read; more may follow. */
         MORE,
         /** Reading failed. */
         FAILED,
-        /** Nothing is to be read at the moment, or the channel has ended. */
+        /** Nothing is to be read at the moment, or the channel is closed. */
         NOT_READ
     }
 
-    private static final long PAUSE_MS = 5;
+    private static final long RETRY_DELAY_MS = 5;
     private static final int END_OF_STREAM = -1;
-    /** The first one finds no room; the next is made when the selector reports some. */
-    private static final int MOST_FRUITLESS_WRITES = 2;
-    /** So many reads in a row are made in search of the end of what has come. */
-    private static final int MOST_READS = 8;
+    /** The first such write finds the send buffer full; the next follows when the selector reports space. */
+    private static final int MAX_WRITES_WITHOUT_PROGRESS = 2;
+    /** The maximum number of consecutive reads in search of the end of the input. */
+    private static final int MAX_READS = 8;
 
     private final TransientErrors readErrors;
     private final TransientErrors writeErrors;
     private boolean flushScheduled;
-    /** Writes in a row that have taken nothing. */
-    private int fruitlessWrites;
-    /** Whether it is left out of the selector for a moment, as far as reading is concerned. */
-    private boolean suspended;
+    /** The number of consecutive writes that wrote nothing. */
+    private int writesWithoutProgress;
+    /** Whether reading is temporarily deregistered from the selector. */
+    private boolean readSuspended;
 
     private ReadResult lastRead = ReadResult.NOT_READ;
     private boolean hasRead;
-    private boolean sendsAtOnce;
+    private boolean noDelaySet;
 
     /**
-     * One that is to be connected.
+     * Creates a channel that is to be connected.
      *
-     * @param longestMs for how long failures in a row are borne, in milliseconds
+     * @param maxRetryMs for how long consecutive failures are retried, in milliseconds
      */
-    protected RetryingSocketChannel(double longestMs) {
-        this.readErrors = new TransientErrors(longestMs);
-        this.writeErrors = new TransientErrors(longestMs);
+    protected RetryingSocketChannel(double maxRetryMs) {
+        this.readErrors = new TransientErrors(maxRetryMs);
+        this.writeErrors = new TransientErrors(maxRetryMs);
     }
 
-    /** One that was accepted. */
-    protected RetryingSocketChannel(Channel parent, SocketChannel accepted, double longestMs) {
+    /** Creates a channel for an accepted connection. */
+    protected RetryingSocketChannel(Channel parent, SocketChannel accepted, double maxRetryMs) {
         super(parent, accepted);
-        this.readErrors = new TransientErrors(longestMs);
-        this.writeErrors = new TransientErrors(longestMs);
+        this.readErrors = new TransientErrors(maxRetryMs);
+        this.writeErrors = new TransientErrors(maxRetryMs);
     }
 
     /**
-     * Connects, reads and writes without being told that it is possible: a registration with the selector may have failed
-     * unseen. Not from within a read of this channel. Returns what the last read found.
+     * Connects, reads and writes without a report of the selector: registering with it may have failed unnoticed. Must not
+     * be called from within a read of this channel. Returns the result of the last read.
      */
     public final ReadResult poll() {
         NioUnsafe unsafe = unsafe();
-        if (hasConnectedUntold()) {
+        if (isConnectedUnreported()) {
             removeAndSubmit(NioIoOps.CONNECT); // the selector would report it in each pass
             unsafe.finishConnect();
         }
@@ -90,7 +90,7 @@
         return found;
     }
 
-    /** Polls, and has the selector told anew what this channel waits for where it had not told of what came. */
+    /** Polls, and renews the registration with the selector if it had not reported the input that was found. */
     public final ReadResult pollAndRearm() {
         ReadResult found = poll();
         if (found == ReadResult.MORE) {
@@ -99,26 +99,29 @@
         return found;
     }
 
-    /** Reads until nothing is left, or so often: what stands behind something else, an end above all, is found too. */
+    /**
+     * Reads until no input is left, at most {@link #MAX_READS} times, so that an end of stream behind other input is found
+     * too.
+     */
     public final ReadResult readUntilEmpty() {
         ReadResult found = poll();
-        for (int reads = 1; found == ReadResult.MORE && reads < MOST_READS; reads++) {
+        for (int reads = 1; found == ReadResult.MORE && reads < MAX_READS; reads++) {
             found = poll();
         }
         return found;
     }
 
-    private boolean hasConnectedUntold() {
+    private boolean isConnectedUnreported() {
         try {
             return isOpen()
                     && javaChannel().isConnectionPending()
                     && javaChannel().finishConnect();
         } catch (IOException e) {
-            return false; // the time that a connection has to come up tells it
+            return false; // the connect timeout handles it
         }
     }
 
-    /** Whether anything has been read since this was asked last. */
+    /** Returns whether anything has been read since the last call. */
     public final boolean getAndClearHasRead() {
         boolean read = hasRead;
         hasRead = false;
@@ -126,10 +129,10 @@
     }
 
     @Override
-    protected int doReadBytes(ByteBuf into) throws Exception {
+    protected int doReadBytes(ByteBuf buffer) throws Exception {
         try {
-            int count = super.doReadBytes(into);
-            if (count < END_OF_STREAM) { // Java hands back an interrupted read as another negative number
+            int count = super.doReadBytes(buffer);
+            if (count < END_OF_STREAM) { // Java returns another negative number for an interrupted read
                 return readFailed();
             }
             readErrors.succeeded();
@@ -137,7 +140,7 @@
             lastRead = count > 0 ? ReadResult.MORE : ReadResult.EXHAUSTED;
             return count;
         } catch (IOException e) {
-            if (!readErrors.bears(e, System.nanoTime())) {
+            if (!readErrors.shouldRetry(e, System.nanoTime())) {
                 throw e;
             }
             return readFailed();
@@ -151,17 +154,17 @@
         return 0;
     }
 
-    /** Has the selector report nothing to read for a moment; polling goes on reading. */
+    /** Pauses reports of readable input by the selector; polling still reads. */
     private void suspendReading() {
-        if (!suspended && isRegistered()) {
-            suspended = true;
+        if (!readSuspended && isRegistered()) {
+            readSuspended = true;
             removeAndSubmit(NioIoOps.READ);
-            eventLoop().schedule(this::resumeReading, PAUSE_MS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(this::resumeReading, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void resumeReading() {
-        suspended = false;
+        readSuspended = false;
         if (isActive() && config().isAutoRead()) {
             read();
         }
@@ -169,14 +172,14 @@
 
     @Override
     protected void doBeginRead() throws Exception {
-        if (!suspended) {
+        if (!readSuspended) {
             super.doBeginRead();
         }
     }
 
     @Override
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
-        sendAtOnce();
+        setNoDelay();
         Object first = out.current();
         long written = out.currentProgress();
         try {
@@ -184,7 +187,7 @@
             writeErrors.succeeded();
             noteProgress(out.current() != first || out.currentProgress() != written || out.isEmpty());
         } catch (IOException e) {
-            if (!writeErrors.bears(e, System.nanoTime())) {
+            if (!writeErrors.shouldRetry(e, System.nanoTime())) {
                 throw e;
             }
             flushLater();
@@ -192,32 +195,35 @@
     }
 
     /**
-     * Guards the event loop against a write that is interrupted again and again: Java tells it as if there were no room, and the
-     * selector reports at once that there is.
+     * Pauses writing after repeated writes without progress, which would keep the event loop busy: Java reports an
+     * interrupted write as a full send buffer, and the selector reports at once that there is space.
      */
     private void noteProgress(boolean progress) {
-        fruitlessWrites = progress ? 0 : fruitlessWrites + 1;
-        if (fruitlessWrites == MOST_FRUITLESS_WRITES) {
-            fruitlessWrites = 0;
+        writesWithoutProgress = progress ? 0 : writesWithoutProgress + 1;
+        if (writesWithoutProgress == MAX_WRITES_WITHOUT_PROGRESS) {
+            writesWithoutProgress = 0;
             removeAndSubmit(NioIoOps.WRITE);
             flushLater();
         }
     }
 
-    /** Has small writes sent at once. Not an option of the bootstrap: Netty closes a channel whose options can't be set. */
-    private void sendAtOnce() {
-        if (sendsAtOnce) {
+    /**
+     * Disables Nagle's algorithm. It is not an option of the bootstrap, because Netty closes a channel whose options can't
+     * be set.
+     */
+    private void setNoDelay() {
+        if (noDelaySet) {
             return;
         }
         try {
             javaChannel().setOption(StandardSocketOptions.TCP_NODELAY, true);
-            sendsAtOnce = true;
+            noDelaySet = true;
         } catch (IOException e) {
-            // Tried again with the next write.
+            // retried with the next write
         }
     }
 
-    /** Whether bytes wait to be written. */
+    /** Returns whether bytes are waiting to be written. */
     public final boolean hasPendingWrites() {
         ChannelOutboundBuffer pending = unsafe().outboundBuffer();
         return pending != null && !pending.isEmpty();
@@ -226,7 +232,7 @@
     private void flushLater() {
         if (!flushScheduled) {
             flushScheduled = true;
-            eventLoop().schedule(this::flushAgain, PAUSE_MS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(this::flushAgain, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/ivybank/transport/TransientErrors.java
+++ b/src/main/java/ivybank/transport/TransientErrors.java
@@ -4,8 +4,9 @@
 import java.nio.channels.ClosedChannelException;
 
 /**
- * Which errors of a read or write leave a connection as it is. Linux reports most of them once, and the next call tells how the
- * connection really is: one that has ended reads as ended then. Counts the failures in a row of one direction of a channel.
+ * Decides which read or write errors a connection survives. Linux reports most errors once, and the next call shows the real
+ * state of the connection: one that has ended reads as ended then. Tracks consecutive failures of one direction of a
+ * channel.
  */
 final class TransientErrors {
 
@@ -13,27 +14,27 @@
     private static final String PIPE = "Broken pipe";
     private static final double NANOS_IN_MS = 1e6;
 
-    private final double longestMs;
+    private final double maxDurationMs;
     private long firstNanos;
     private boolean failing;
 
-    /** @param longestMs for how long failures in a row are borne, in milliseconds */
-    TransientErrors(double longestMs) {
-        this.longestMs = longestMs;
+    /** @param maxDurationMs for how long consecutive failures are retried, in milliseconds */
+    TransientErrors(double maxDurationMs) {
+        this.maxDurationMs = maxDurationMs;
     }
 
-    /** A call has succeeded. */
+    /** Records a successful call, which ends a sequence of failures. */
     void succeeded() {
         failing = false;
     }
 
-    /** Whether the call is to be tried again after this failure. */
-    boolean bears(IOException failure, long nowNanos) {
+    /** Returns whether to retry the call after this failure. */
+    boolean shouldRetry(IOException failure, long nowNanos) {
         if (!failing) {
             failing = true;
             firstNanos = nowNanos;
         }
-        return !endsConnection(failure) && (nowNanos - firstNanos) / NANOS_IN_MS <= longestMs;
+        return !endsConnection(failure) && (nowNanos - firstNanos) / NANOS_IN_MS <= maxDurationMs;
     }
 
     private static boolean endsConnection(IOException failure) {
--- a/src/main/java/ivybank/transport/package-info.java
+++ b/src/main/java/ivybank/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Socket channels that outlast system calls that fail for a moment. */
+/** Socket channels that survive transient errors of system calls. */
 package ivybank.transport;
--- a/src/test/java/ivybank/transport/RetryingSocketChannelTest.java
+++ b/src/test/java/ivybank/transport/RetryingSocketChannelTest.java
@@ -18,21 +18,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What polling a channel leaves behind at the selector. */
+/** Tests the selector registration after polling a channel. */
 @Timeout(20)
 class RetryingSocketChannelTest {
 
-    private static final long LONGEST_FAILURE_MS = 1000;
-    private static final long CONNECT_MS = 200;
+    private static final long FAILURE_TIMEOUT_MS = 1000;
+    private static final long CONNECT_TIMEOUT_MS = 200;
 
-    /** A channel that tells what it waits for. */
+    /** A channel that exposes its interest set. */
     private static final class TestChannel extends RetryingSocketChannel {
 
         TestChannel() {
-            super(LONGEST_FAILURE_MS);
+            super(FAILURE_TIMEOUT_MS);
         }
 
-        int interest() {
+        int interestOps() {
             SelectionKey key = registration().attachment();
             return key.interestOps();
         }
@@ -40,7 +40,7 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final CompletableFuture<Boolean> up = new CompletableFuture<>();
+    private final CompletableFuture<Boolean> connected = new CompletableFuture<>();
     private ServerSocket server;
 
     @BeforeEach
@@ -54,17 +54,17 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    // Guards against a busy event loop: the selector reports a connected socket again and again while OP_CONNECT is
-    // left set.
+    // A connected socket whose OP_CONNECT is left set would be reported by the selector in each pass and keep the event
+    // loop busy.
     @Test
-    void aConnectionThatPollingFindsUpNoLongerWaitsToConnect() throws Exception {
+    void aConnectionEstablishedDuringPollClearsItsConnectInterest() throws Exception {
         TestChannel channel = new TestChannel();
         CompletableFuture<Integer> interest = new CompletableFuture<>();
         loop.execute(() -> {
             connect(channel);
-            loop.execute(() -> interest.complete(interestOncePolled(channel)));
+            loop.execute(() -> interest.complete(interestAfterPolling(channel)));
         });
-        assertTrue(up.get(10, TimeUnit.SECONDS), "it comes up");
+        assertTrue(connected.get(10, TimeUnit.SECONDS), "the connection is established");
         assertEquals(SelectionKey.OP_READ, interest.get(10, TimeUnit.SECONDS));
     }
 
@@ -74,15 +74,15 @@
                 .channelFactory(() -> channel)
                 .handler(new ChannelInboundHandlerAdapter())
                 .connect(server.getLocalSocketAddress())
-                .addListener(connected -> up.complete(connected.isSuccess()));
+                .addListener(future -> connected.complete(future.isSuccess()));
     }
 
-    /** Runs right behind the connect on the event loop, so that the selector has told nothing yet. */
-    private static int interestOncePolled(TestChannel channel) {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CONNECT_MS);
-        while (!channel.isActive() && System.nanoTime() < untilNanos) {
+    /** Polls directly after the connect on the event loop, before the selector has reported anything. */
+    private static int interestAfterPolling(TestChannel channel) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CONNECT_TIMEOUT_MS);
+        while (!channel.isActive() && System.nanoTime() < deadlineNanos) {
             channel.poll();
         }
-        return channel.interest();
+        return channel.interestOps();
     }
 }
