--- a/src/main/java/ivybank/common/Addresses.java
+++ b/src/main/java/ivybank/common/Addresses.java
@@ -5,22 +5,22 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads and writes addresses in figures. */
+/** Parses and formats numeric addresses. */
 public final class Addresses {
 
     private static final int MAX_PORT = 65_535;
 
     private Addresses() {}
 
-    /** As {@link #parse} reads it. */
+    /** Formats an address so that {@link #parse} can read it. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /**
-     * An address in figures with a port; names are not looked up, for there is no name service.
+     * Parses a numeric address with a port. Names are not resolved, because there is no name service.
      *
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the text is not such an address
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -31,8 +31,8 @@
                 return new InetSocketAddress(InetAddress.getByAddress(host), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            throw new IllegalArgumentException("not an address: " + text, e);
+            throw new IllegalArgumentException("not a numeric address with a port: " + text, e);
         }
-        throw new IllegalArgumentException("not an address: " + text);
+        throw new IllegalArgumentException("not a numeric address with a port: " + text);
     }
 }
--- a/src/main/java/ivybank/common/BackgroundOutput.java
+++ b/src/main/java/ivybank/common/BackgroundOutput.java
@@ -9,32 +9,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes to another stream on a thread of its own, so that whoever logs never waits: a pipe that nobody reads blocks its writer. What
- * doesn't fit is dropped and counted.
+ * Writes to another stream on a separate thread, so that logging never blocks, as it would on a pipe that nobody reads. What
+ * exceeds the queue is dropped and counted.
  */
 public final class BackgroundOutput extends OutputStream {
 
-    private static final int MOST_WAITING_BYTES = 128 * 1024;
-    private static final long LAST_WORDS_MS = 200;
+    private static final int MAX_QUEUED_BYTES = 128 * 1024;
+    private static final long SHUTDOWN_FLUSH_TIMEOUT_MS = 200;
 
     private final PrintStream target;
-    private final Deque<byte[]> waiting = new ArrayDeque<>();
-    private int waitingBytes;
+    private final Deque<byte[]> queue = new ArrayDeque<>();
+    private int queuedBytes;
     private boolean writing;
     private long dropped;
 
     BackgroundOutput(PrintStream target) {
         this.target = target;
-        Thread writer = new Thread(this::writeOn, "log");
+        Thread writer = new Thread(this::writeLoop, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** Puts one before standard error; what the process prints last is waited for when it ends. */
+    /**
+     * Replaces standard error with such a stream; at exit the process waits until its last output is written, for a limited
+     * time.
+     */
     public static BackgroundOutput replaceStandardError() {
         BackgroundOutput output = new BackgroundOutput(System.err);
         System.setErr(new PrintStream(output, false, StandardCharsets.UTF_8));
-        Runtime.getRuntime().addShutdownHook(new Thread(output::awaitWritten, "last words"));
+        Runtime.getRuntime().addShutdownHook(new Thread(output::awaitWritten, "log-flush"));
         return output;
     }
 
@@ -48,7 +51,7 @@
         if (length == 0) {
             return;
         }
-        if (waitingBytes + length > MOST_WAITING_BYTES) {
+        if (queuedBytes + length > MAX_QUEUED_BYTES) {
             dropped++;
             return;
         }
@@ -56,12 +59,12 @@
     }
 
     private void add(byte[] chunk) {
-        waiting.addLast(chunk);
-        waitingBytes += chunk.length;
+        queue.addLast(chunk);
+        queuedBytes += chunk.length;
         notifyAll();
     }
 
-    private void writeOn() {
+    private void writeLoop() {
         while (true) {
             byte[] chunk = next();
             if (chunk == null) {
@@ -75,7 +78,7 @@
 
     private synchronized byte[] next() {
         try {
-            while (waiting.isEmpty()) {
+            while (queue.isEmpty()) {
                 wait();
             }
         } catch (InterruptedException e) {
@@ -83,30 +86,30 @@
             return null;
         }
         writing = true;
-        return waiting.pollFirst();
+        return queue.pollFirst();
     }
 
     private synchronized void written(byte[] chunk) {
         writing = false;
-        waitingBytes -= chunk.length;
-        if (dropped > 0 && waiting.isEmpty()) {
-            add(("(" + dropped + " pieces of the log were dropped: nobody took them)\n")
+        queuedBytes -= chunk.length;
+        if (dropped > 0 && queue.isEmpty()) {
+            add(("(" + dropped + " log writes dropped: the output is not being read)\n")
                     .getBytes(StandardCharsets.UTF_8));
             dropped = 0;
         }
         notifyAll();
     }
 
-    /** Waits for a moment until all is written. */
+    /** Waits until all output is written, for a limited time. */
     public synchronized void awaitWritten() {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_WORDS_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_FLUSH_TIMEOUT_MS);
         try {
-            while (writing || !waiting.isEmpty()) {
-                long leftMs = TimeUnit.NANOSECONDS.toMillis(untilNanos - System.nanoTime());
-                if (leftMs <= 0) {
+            while (writing || !queue.isEmpty()) {
+                long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+                if (remainingMs <= 0) {
                     return;
                 }
-                wait(leftMs);
+                wait(remainingMs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/ivybank/common/Clock.java
+++ b/src/main/java/ivybank/common/Clock.java
@@ -3,8 +3,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The module's clock: Unix time in milliseconds, as discovery states the starts of upstreams, read once and then
- * advanced by the monotonic clock, so that a correction of the wall clock never moves it back.
+ * The clock of the decision module: Unix time in milliseconds, in which discovery states the start times of upstreams. It is
+ * read once and then advanced by the monotonic clock, so that a correction of the wall clock never moves it back.
  */
 public final class Clock {
 
@@ -24,7 +24,10 @@
         return new Clock(System.currentTimeMillis(), System::nanoTime);
     }
 
-    /** The machine's monotonic clock in milliseconds: the same for all of its processes, whatever becomes of the wall clock. */
+    /**
+     * Returns the machine's monotonic clock in milliseconds, which is the same for all its processes and independent of the
+     * wall clock.
+     */
     public double monotonicMs() {
         return nanos.getAsLong() / NANOS_IN_MS;
     }
--- a/src/main/java/ivybank/common/DescriptorBudget.java
+++ b/src/main/java/ivybank/common/DescriptorBudget.java
@@ -1,35 +1,36 @@
 package ivybank.common;
 
 /**
- * The file descriptors that both sides share. Each side has a bound of its own; together they would be too many, so
- * that what one side does not use the other may. Another process of the sidecar counts against the same limit.
+ * The file descriptors shared by the client side and the upstream side. Each side has its own limit, and the two together
+ * exceed the total, so that one side can use what the other does not. Another process of the sidecar counts against the same
+ * limit.
  */
 public final class DescriptorBudget {
 
-    private final int most;
+    private final int limit;
     private int used;
-    private int elsewhere;
+    private int usedByOtherProcess;
 
     public DescriptorBudget(int most) {
-        this.most = most;
+        this.limit = most;
     }
 
     public boolean isExhausted() {
         return available() == 0;
     }
 
-    /** How many more may be taken. */
+    /** Returns how many more descriptors may be acquired. */
     public int available() {
-        return Math.max(0, most - used - elsewhere);
+        return Math.max(0, limit - used - usedByOtherProcess);
     }
 
     public int used() {
         return used;
     }
 
-    /** Tells how many another process holds, or may hold before it is heard of again. */
-    public void setUsedByOtherProcess(int held) {
-        elsewhere = held;
+    /** Sets the number of descriptors that another process holds, or may hold before its next report. */
+    public void setUsedByOtherProcess(int count) {
+        usedByOtherProcess = count;
     }
 
     public void acquire() {
--- a/src/main/java/ivybank/common/EventLoopStallDetector.java
+++ b/src/main/java/ivybank/common/EventLoopStallDetector.java
@@ -1,62 +1,66 @@
 package ivybank.common;
 
 /**
- * Detects that the event loop has stalled of late: the process was stopped, the machine was moved or had no core to spare, or
- * a garbage collection took long. What arrived meanwhile still stands in the sockets and is read in no particular order: a
- * node's answer before the end of the client that it is for, a request before the message that its node drains. What is sent
- * on then has to wait until all sockets have been read ({@link NextSelect}). Decides by the clock handed in, in milliseconds;
- * {@link #check} is due each {@link #periodMs()}. Used on the event loop alone.
+ * Detects that the event loop has recently stalled: the process was stopped, the machine was migrated or had no CPU to
+ * spare, or a garbage collection took long. What arrived meanwhile is still in the sockets and is read in no particular
+ * order: a node's answer before the disconnect of the client that waits for it, a request before the message that its node
+ * drains. What is forwarded then has to wait until all sockets have been read ({@link NextSelect}). Time is passed in, in
+ * milliseconds; {@link #check} is due every {@link #periodMs()}. Used on the event loop alone.
  */
 public final class EventLoopStallDetector {
 
-    /** One that never detects a stall. */
+    /** A detector that never detects a stall. */
     public static final EventLoopStallDetector NEVER = new EventLoopStallDetector(0, Double.POSITIVE_INFINITY);
 
-    /** A hold-up is noticed that is longer than so many periods. */
-    private static final double NOTICED_PERIODS = 2;
+    /** A stall is detected if it is longer than this many periods. */
+    private static final double STALL_PERIODS = 2;
 
-    /** Of a drain's grace, in which what was told must have been seen: four such times may go by unnoticed. */
-    private static final double PERIOD_PART = 0.1;
+    /**
+     * The part of a drain's grace time that is the period. A drain notice must be seen within the grace time, and up to four
+     * periods may pass undetected.
+     */
+    private static final double GRACE_FRACTION = 0.1;
 
-    private static final double LEAST_PERIOD_MS = 10;
+    private static final double MIN_PERIOD_MS = 10;
     /**
-     * Of the 100 ms after which nothing is sent on for a client that left. Its end may come right behind one look at the sockets
-     * and be found late in the next, and both times may be just too short to be noticed: four periods.
+     * The limit that follows from the 100 ms after which nothing may be sent for a client that has disconnected. The
+     * disconnect may follow one pass over the sockets and be read late in the next, and both passes may be just too short to
+     * be detected: four periods.
      */
-    private static final double LONGEST_PERIOD_MS = 20;
-    /** Where requests' times are concerned, which have more room. */
-    private static final double REQUESTS_PERIOD_MS = 100;
-    /** For so long at most what is accepted counts as having stood in the backlog. */
-    private static final double LONGEST_MS = 2000;
+    private static final double MAX_PERIOD_MS = 20;
+    /** The period where the times of requests are concerned, which tolerate more. */
+    private static final double REQUEST_TIMES_PERIOD_MS = 100;
+    /** The limit on the time for which accepted connections count as having waited in the backlog. */
+    private static final double MAX_BACKLOG_MS = 2000;
 
     private final double periodMs;
-    private double lookedMs;
-    private double sinceMs; // the last look before it was held up
+    private double lastCheckMs;
+    private double stalledSinceMs; // the last check before the stall
     private boolean settling;
     private boolean accepted;
-    private double latestMs;
+    private double settlingEndMs;
 
     /**
-     * One that notices what matters before something is sent on: that clients left and that nodes drain.
+     * Returns a detector for what matters before something is sent: that clients have disconnected and that nodes drain.
      *
-     * @param graceMs for how long a node may be sent to that was told to drain
+     * @param graceMs for how long requests may still be sent to a node after it was notified to drain
      */
     public static EventLoopStallDetector forSends(double graceMs, double nowMs) {
         return new EventLoopStallDetector(
-                Math.max(LEAST_PERIOD_MS, Math.min(PERIOD_PART * graceMs, LONGEST_PERIOD_MS)), nowMs);
+                Math.max(MIN_PERIOD_MS, Math.min(GRACE_FRACTION * graceMs, MAX_PERIOD_MS)), nowMs);
     }
 
     /**
-     * One that notices what matters for the time that requests have: much longer hold-ups. On a slow machine the shorter ones
-     * follow one another without a gap, and requests would count as having come long ago.
+     * Returns a detector for what matters for the times of requests: much longer stalls. On a slow machine the shorter ones
+     * follow one another without a gap, and each request would count as having arrived long ago.
      */
     public static EventLoopStallDetector forRequestTimes(double nowMs) {
-        return new EventLoopStallDetector(REQUESTS_PERIOD_MS, nowMs);
+        return new EventLoopStallDetector(REQUEST_TIMES_PERIOD_MS, nowMs);
     }
 
     private EventLoopStallDetector(double periodMs, double nowMs) {
         this.periodMs = periodMs;
-        this.lookedMs = nowMs;
+        this.lastCheckMs = nowMs;
     }
 
     public double periodMs() {
@@ -64,47 +68,51 @@
     }
 
     /**
-     * The look that is due; whether from now on {@link #passCompleted} is due behind each pass, for it shows that the loop was held up.
-     * Where that is so already, the pass that is about to end began before this and tells nothing.
+     * Performs the periodic check. Returns whether it has detected a stall that is not being followed yet, after which
+     * {@link #passCompleted} must be called after each pass. A late check while a stall is being followed makes the pass
+     * that is about to end count for nothing, because that pass began before the check.
      */
     public boolean check(double nowMs) {
-        boolean shows = isLate(nowMs);
-        boolean begins = shows && !settling;
-        if (begins) {
-            sinceMs = lookedMs;
+        boolean late = isLate(nowMs);
+        boolean newlyDetected = late && !settling;
+        if (newlyDetected) {
+            stalledSinceMs = lastCheckMs;
         }
-        if (shows) {
+        if (late) {
             accepted |= settling;
             settling = true;
-            latestMs = nowMs + LONGEST_MS;
+            settlingEndMs = nowMs + MAX_BACKLOG_MS;
         }
-        lookedMs = nowMs;
-        return begins;
+        lastCheckMs = nowMs;
+        return newlyDetected;
     }
 
-    /** A connection has been accepted; it may have stood in the backlog, with all that its client had to say. */
+    /** Notifies that a connection was accepted, which may have waited in the backlog together with what its client has sent. */
     public void connectionAccepted() {
         accepted = true;
     }
 
-    /** All sockets have been looked at once more; whether that has to be done again, for one is accepted in a pass. */
+    /**
+     * Notifies that all sockets have been read once more. Returns whether another pass is needed because a connection was
+     * accepted in this one.
+     */
     public boolean passCompleted(double nowMs) {
-        settling = accepted && nowMs < latestMs;
+        settling = accepted && nowMs < settlingEndMs;
         accepted = false;
         return settling;
     }
 
-    /** Whether something older may stand in the sockets than what is at hand. */
+    /** Returns whether the sockets may hold input that is older than what is being processed. */
     public boolean isStalled(double nowMs) {
         return settling || isLate(nowMs);
     }
 
-    /** The earliest at which what is found now may have come. */
+    /** Returns the earliest time at which input that is read now may have arrived. */
     public double earliestArrivalMs(double nowMs) {
-        return isLate(nowMs) ? lookedMs : settling ? sinceMs : nowMs;
+        return isLate(nowMs) ? lastCheckMs : settling ? stalledSinceMs : nowMs;
     }
 
     private boolean isLate(double nowMs) {
-        return nowMs - lookedMs > NOTICED_PERIODS * periodMs;
+        return nowMs - lastCheckMs > STALL_PERIODS * periodMs;
     }
 }
--- a/src/main/java/ivybank/common/FleetViewClient.java
+++ b/src/main/java/ivybank/common/FleetViewClient.java
@@ -7,21 +7,21 @@
 import java.net.MalformedURLException;
 import java.net.URI;
 
-/** Asks a sidecar's door what it sees of the others; for those that are no sidecar themselves. */
+/** Fetches a sidecar's view of its fleet from its admin endpoint, for programs that are not sidecars themselves. */
 public final class FleetViewClient {
 
     private FleetViewClient() {}
 
     /**
-     * The view as JSON; null where nobody answers, or has no view to show.
+     * Returns the view as JSON; null if the sidecar does not answer or has no view.
      *
-     * @param door as http://HOST:PORT
-     * @throws IllegalArgumentException if that is no address of HTTP
+     * @param adminEndpoint the address of the admin endpoint, as http://HOST:PORT
+     * @throws IllegalArgumentException if that is not an HTTP address
      */
-    public static JsonNode fetch(String door, int timeoutMs) {
+    public static JsonNode fetch(String adminEndpoint, int timeoutMs) {
         try {
-            if (!(URI.create(door + "/fleet").toURL().openConnection() instanceof HttpURLConnection call)) {
-                throw new IllegalArgumentException(door);
+            if (!(URI.create(adminEndpoint + "/fleet").toURL().openConnection() instanceof HttpURLConnection call)) {
+                throw new IllegalArgumentException(adminEndpoint);
             }
             call.setConnectTimeout(timeoutMs);
             call.setReadTimeout(timeoutMs);
@@ -29,15 +29,15 @@
                 return Json.MAPPER.readTree(in.readAllBytes());
             }
         } catch (MalformedURLException e) {
-            throw new IllegalArgumentException(door, e);
+            throw new IllegalArgumentException(adminEndpoint, e);
         } catch (IOException e) {
-            return null; // it is not there, or stands still
+            return null; // it is not running, or is suspended
         }
     }
 
-    /** Whether one of a view's members lives by it. */
+    /** Returns whether a member of a view is alive according to that view. */
     public static boolean isAlive(JsonNode member) {
-        String standing = member.path("standing").asText("gone");
-        return !standing.equals("gone") && !standing.equals("left");
+        String state = member.path("standing").asText("gone");
+        return !state.equals("gone") && !state.equals("left");
     }
 }
--- a/src/main/java/ivybank/common/Framing.java
+++ b/src/main/java/ivybank/common/Framing.java
@@ -7,17 +7,17 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
 
-/** What a message's head says of its body, beyond what Netty's decoders check. */
+/** Checks of how a message's head delimits its body, beyond those of Netty's decoders. */
 public final class Framing {
 
-    /** What is handled whole, and can be sent again; a longer body is passed on in pieces. */
+    /** The size up to which a body is buffered whole, so that it can be sent again; a longer one is streamed. */
     public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
-    /** The most that a body may hold. */
+    /** The maximum size of a body. */
     public static final long MAX_BODY_BYTES = 32L << 20;
 
     private Framing() {}
 
-    /** Whether the end of the body is told in one way that all readers take alike. */
+    /** Returns whether the end of the body is defined in a single way that all recipients interpret alike. */
     public static boolean isUnambiguous(HttpMessage head) {
         List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
         if (lengths.size() > 1 || !lengths.stream().allMatch(Framing::isNumber)) {
--- a/src/main/java/ivybank/common/Json.java
+++ b/src/main/java/ivybank/common/Json.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** The one reader and writer of JSON: to make another costs a start some of its time. */
+/** The shared reader and writer of JSON; creating another one would slow down startup. */
 public final class Json {
 
     public static final ObjectMapper MAPPER = new ObjectMapper();
--- a/src/main/java/ivybank/common/Log.java
+++ b/src/main/java/ivybank/common/Log.java
@@ -2,17 +2,17 @@
 
 import java.io.PrintStream;
 
-/** Lines for on-call staff: so many a second at most, with a count of those left out. */
+/** Writes log lines for operators. The number of lines per second is limited, and omitted lines are counted. */
 public final class Log {
 
-    private static final int LINES_IN_SECOND = 20;
+    private static final int MAX_LINES_PER_SECOND = 20;
     private static final double SECOND_MS = 1000;
 
     private final PrintStream out;
     private final Clock clock;
     private double secondStartedMs;
     private int written;
-    private int leftOut;
+    private int suppressed;
 
     public Log(PrintStream out, Clock clock) {
         this.out = out;
@@ -23,18 +23,18 @@
     public void line(String text) {
         double nowMs = clock.nowMs();
         if (nowMs - secondStartedMs >= SECOND_MS) {
-            if (leftOut > 0) {
-                out.println("(" + leftOut + " lines left out)");
+            if (suppressed > 0) {
+                out.println("(" + suppressed + " log lines omitted)");
             }
             secondStartedMs = nowMs;
             written = 0;
-            leftOut = 0;
+            suppressed = 0;
         }
-        if (written < LINES_IN_SECOND) {
+        if (written < MAX_LINES_PER_SECOND) {
             written++;
             out.println(text);
         } else {
-            leftOut++;
+            suppressed++;
         }
     }
 }
--- a/src/main/java/ivybank/common/ProcessAge.java
+++ b/src/main/java/ivybank/common/ProcessAge.java
@@ -1,22 +1,22 @@
 package ivybank.common;
 
-/** How old this process is, by the monotonic clock: a step of the wall clock does not count. */
+/** The age of this process by the monotonic clock, so that a step of the wall clock does not matter. */
 public final class ProcessAge {
 
     private static final double NANOS_IN_MS = 1e6;
     private static final long LOADED_NANOS = System.nanoTime();
-    /** What the Java runtime takes on a busy machine before it runs the first line of the program. */
-    private static final double MOST_RUNTIME_START_MS = 1000;
+    /** What the Java runtime takes at most, on a busy machine, before it runs the first line of the program. */
+    private static final double MAX_RUNTIME_START_MS = 1000;
 
     private ProcessAge() {}
 
-    /** Since the first line of the program, which calls this, in milliseconds. */
+    /** Returns the time since the first line of the program, which calls this, in milliseconds. */
     public static double sinceFirstLineMs() {
         return (System.nanoTime() - LOADED_NANOS) / NANOS_IN_MS;
     }
 
-    /** Its age at most, in milliseconds. */
+    /** Returns the maximum age of the process, in milliseconds. */
     public static double maxMs() {
-        return MOST_RUNTIME_START_MS + sinceFirstLineMs();
+        return MAX_RUNTIME_START_MS + sinceFirstLineMs();
     }
 }
--- a/src/main/java/ivybank/common/RecoveryTime.java
+++ b/src/main/java/ivybank/common/RecoveryTime.java
@@ -3,36 +3,37 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * Time to full service after a fault: until the share of what is served has come back to within 5% of what it was in the 5 s
- * before, and stays so for 5 s.
+ * The time to full service after a fault: until the share of served requests is back within 5% of what it was in the 5 s
+ * before the fault, and stays there for 5 s.
  */
 public final class RecoveryTime {
 
-    private static final int BEFORE_S = 5;
-    private static final int STAYS_S = 5;
-    private static final double WITHIN = 0.05;
+    private static final int BASELINE_S = 5;
+    private static final int STABLE_S = 5;
+    private static final double TOLERANCE = 0.05;
 
     private RecoveryTime() {}
 
     /**
-     * The time in seconds.
+     * Returns the time in seconds.
      *
-     * @param share of the requests of a second that were served as wanted, by second; NaN where none came
-     * @param seconds how many there are
-     * @param faultS when the fault was, in seconds from the first one's beginning
-     * @return 0 where service did not fall; infinite where it did not come back, or too late to stay; NaN where nothing was before
+     * @param share returns the share of a second's requests that were served as wanted; NaN if there were none
+     * @param seconds the number of seconds
+     * @param faultS the time of the fault in seconds from the beginning of the first second
+     * @return 0 if service did not degrade; infinity if it did not recover, or too late to stay recovered; NaN if there is
+     *     no baseline
      */
     public static double seconds(IntToDoubleFunction share, int seconds, double faultS) {
         int fault = (int) Math.floor(faultS);
-        double before = mean(share, Math.max(0, fault - BEFORE_S), Math.min(fault, seconds));
-        if (Double.isNaN(before)) {
+        double baseline = mean(share, Math.max(0, fault - BASELINE_S), Math.min(fault, seconds));
+        if (Double.isNaN(baseline)) {
             return Double.NaN;
         }
-        for (int from = fault; from + STAYS_S <= seconds; from++) {
-            double first = share.applyAsDouble(from);
-            double then = mean(share, from, from + STAYS_S);
-            // The second itself too: four good ones must not make up for the fault's own.
-            if (then >= before - WITHIN && !(first < before - WITHIN)) {
+        for (int from = fault; from + STABLE_S <= seconds; from++) {
+            double firstSecond = share.applyAsDouble(from);
+            double mean = mean(share, from, from + STABLE_S);
+            // The second itself must reach the baseline too: four good ones must not make up for that of the fault.
+            if (mean >= baseline - TOLERANCE && !(firstSecond < baseline - TOLERANCE)) {
                 return Math.max(0, from - faultS);
             }
         }
@@ -43,9 +44,9 @@
         double sum = 0;
         int count = 0;
         for (int second = from; second < until; second++) {
-            double at = share.applyAsDouble(second);
-            if (!Double.isNaN(at)) {
-                sum += at;
+            double value = share.applyAsDouble(second);
+            if (!Double.isNaN(value)) {
+                sum += value;
                 count++;
             }
         }
--- a/src/main/java/ivybank/common/package-info.java
+++ b/src/main/java/ivybank/common/package-info.java
@@ -1,2 +1,2 @@
-/** What several packages share: clock, log, addresses, descriptors and the event loop's stalls. */
+/** Classes that several packages share: clock, log, addresses, file descriptors and event loop stalls. */
 package ivybank.common;
--- a/src/test/java/ivybank/common/EventLoopStallDetectorTest.java
+++ b/src/test/java/ivybank/common/EventLoopStallDetectorTest.java
@@ -12,55 +12,56 @@
 
 class EventLoopStallDetectorTest {
 
-    /** After this nothing is sent on for a client that has left. */
-    private static final double CLIENT_LEFT_MS = 100;
+    /** The time after which nothing may be sent for a client that has disconnected. */
+    private static final double MAX_SEND_AFTER_DISCONNECT_MS = 100;
 
-    private static final double FOUND_MS = 5000;
+    private static final double STALL_END_MS = 5000;
 
-    /** After looks that came in their time, up to 1 s. */
-    private static EventLoopStallDetector looking(EventLoopStallDetector stallDetector) {
+    /** Performs checks on time, up to 1 s. */
+    private static EventLoopStallDetector withTimelyChecks(EventLoopStallDetector stallDetector) {
         for (double nowMs = 0; nowMs <= 1000; nowMs += stallDetector.periodMs()) {
             stallDetector.check(nowMs);
         }
         return stallDetector;
     }
 
-    static List<EventLoopStallDetector> kinds() {
+    static List<EventLoopStallDetector> detectors() {
         return List.of(
-                looking(EventLoopStallDetector.forSends(500, 0)), looking(EventLoopStallDetector.forRequestTimes(0)));
+                withTimelyChecks(EventLoopStallDetector.forSends(500, 0)),
+                withTimelyChecks(EventLoopStallDetector.forRequestTimes(0)));
     }
 
-    private static double unnoticedMs(EventLoopStallDetector stallDetector) {
-        double unnoticedMs = 0;
-        while (!stallDetector.isStalled(1000 + unnoticedMs)) {
-            unnoticedMs++;
+    private static double undetectedMs(EventLoopStallDetector stallDetector) {
+        double undetectedMs = 0;
+        while (!stallDetector.isStalled(1000 + undetectedMs)) {
+            undetectedMs++;
         }
-        return unnoticedMs;
+        return undetectedMs;
     }
 
     /**
-     * What goes by unnoticed leaves a good part of a drain's grace, and of the time in which a client that left is seen: its end
-     * may come right behind a look at the sockets, and be found last in the next.
+     * An undetected stall must leave a good part of a drain's grace time, and of the time within which a client's disconnect
+     * is noticed: it may follow one pass over the sockets and be read last in the next.
      */
     @ParameterizedTest
     @ValueSource(doubles = {50, 350, 500, 1500, 60_000})
-    void whatIsNotNoticedBeforeSendsIsShort(double graceMs) {
-        EventLoopStallDetector stallDetector = looking(EventLoopStallDetector.forSends(graceMs, 0));
-        double unnoticedMs = unnoticedMs(stallDetector);
-        assertTrue(unnoticedMs <= 0.45 * graceMs, unnoticedMs + " of " + graceMs);
-        assertTrue(2 * unnoticedMs <= 0.85 * CLIENT_LEFT_MS, unnoticedMs + " ms");
-        assertTrue(unnoticedMs > stallDetector.periodMs(), "a look that is on time is not late");
+    void undetectedStallsBeforeSendsAreShort(double graceMs) {
+        EventLoopStallDetector stallDetector = withTimelyChecks(EventLoopStallDetector.forSends(graceMs, 0));
+        double undetectedMs = undetectedMs(stallDetector);
+        assertTrue(undetectedMs <= 0.45 * graceMs, undetectedMs + " ms of a grace time of " + graceMs);
+        assertTrue(2 * undetectedMs <= 0.85 * MAX_SEND_AFTER_DISCONNECT_MS, undetectedMs + " ms");
+        assertTrue(undetectedMs > stallDetector.periodMs(), "a check that is on time is not late");
     }
 
     @Test
-    void whatIsNotNoticedOfRequestsIsLessThanTheyMayBeLate() {
-        assertTrue(unnoticedMs(looking(EventLoopStallDetector.forRequestTimes(0))) < 300);
+    void undetectedStallsOfRequestTimesAreShorterThanTheirTolerance() {
+        assertTrue(undetectedMs(withTimelyChecks(EventLoopStallDetector.forRequestTimes(0))) < 300);
     }
 
-    /** Looks come a little late on any machine. */
+    /** Checks are a little late on any machine. */
     @ParameterizedTest
     @MethodSource("kinds")
-    void itIsNotHeldUpWhileLooksComeInTheirTime(EventLoopStallDetector stallDetector) {
+    void timelyChecksReportNoStall(EventLoopStallDetector stallDetector) {
         double lateMs = 1.8 * stallDetector.periodMs();
         for (double nowMs = 1000 + lateMs; nowMs < 3000; nowMs += lateMs) {
             assertFalse(stallDetector.isStalled(nowMs));
@@ -69,14 +70,14 @@
         }
     }
 
-    /** The look itself may be the first thing that runs when it goes on: what is found behind it is as old. */
+    /** The check itself may be the first task after a stall: what is read after it is as old. */
     @ParameterizedTest
     @MethodSource("kinds")
-    void itHoldsUntilAllSocketsHaveBeenLookedAtBehindTheLookThatShowsIt(EventLoopStallDetector stallDetector) {
-        assertEquals(1000, stallDetector.earliestArrivalMs(FOUND_MS));
-        assertTrue(stallDetector.check(FOUND_MS));
-        double nextMs = FOUND_MS + stallDetector.periodMs();
-        assertFalse(stallDetector.check(nextMs), "one look shows it");
+    void stallLastsUntilAFullPassAfterTheCheckThatDetectsIt(EventLoopStallDetector stallDetector) {
+        assertEquals(1000, stallDetector.earliestArrivalMs(STALL_END_MS));
+        assertTrue(stallDetector.check(STALL_END_MS));
+        double nextMs = STALL_END_MS + stallDetector.periodMs();
+        assertFalse(stallDetector.check(nextMs), "the stall is detected only once");
         assertTrue(stallDetector.isStalled(nextMs + 5));
         assertEquals(1000, stallDetector.earliestArrivalMs(nextMs + 5));
         assertFalse(stallDetector.passCompleted(nextMs + 10));
@@ -84,25 +85,31 @@
         assertEquals(nextMs + 10, stallDetector.earliestArrivalMs(nextMs + 10));
     }
 
-    /** A machine so slow that a pass alone is late: the pass that ends behind such a look has not looked at what came meanwhile. */
+    /**
+     * On a machine so slow that each pass is late, the pass that ends after such a check has not read what arrived
+     * meanwhile.
+     */
     @ParameterizedTest
     @MethodSource("kinds")
-    void itHoldsForAWholePassBehindTheLastLookThatShowsIt(EventLoopStallDetector stallDetector) {
-        assertTrue(stallDetector.check(FOUND_MS));
-        assertFalse(stallDetector.check(FOUND_MS + 300), "it is followed pass by pass already");
-        assertTrue(stallDetector.passCompleted(FOUND_MS + 301));
-        assertTrue(stallDetector.isStalled(FOUND_MS + 302));
-        assertEquals(1000, stallDetector.earliestArrivalMs(FOUND_MS + 302));
-        assertFalse(stallDetector.passCompleted(FOUND_MS + 320));
-        assertFalse(stallDetector.isStalled(FOUND_MS + 320));
+    void stallLastsForAFullPassAfterTheLastLateCheck(EventLoopStallDetector stallDetector) {
+        assertTrue(stallDetector.check(STALL_END_MS));
+        assertFalse(stallDetector.check(STALL_END_MS + 300), "the stall is being followed already");
+        assertTrue(stallDetector.passCompleted(STALL_END_MS + 301));
+        assertTrue(stallDetector.isStalled(STALL_END_MS + 302));
+        assertEquals(1000, stallDetector.earliestArrivalMs(STALL_END_MS + 302));
+        assertFalse(stallDetector.passCompleted(STALL_END_MS + 320));
+        assertFalse(stallDetector.isStalled(STALL_END_MS + 320));
     }
 
-    /** Connections that are accepted one after another stood in the backlog, however long each pass takes, but not without end. */
+    /**
+     * Connections accepted one after another count as having waited in the backlog, however long each pass takes, up to a
+     * limit.
+     */
     @ParameterizedTest
     @MethodSource("kinds")
-    void itHoldsWhileTheBacklogIsAccepted(EventLoopStallDetector stallDetector) {
-        stallDetector.check(FOUND_MS);
-        double nowMs = FOUND_MS;
+    void stallLastsWhileTheBacklogIsAccepted(EventLoopStallDetector stallDetector) {
+        stallDetector.check(STALL_END_MS);
+        double nowMs = STALL_END_MS;
         stallDetector.connectionAccepted();
         while (stallDetector.passCompleted(nowMs)) {
             assertTrue(stallDetector.isStalled(nowMs));
@@ -111,8 +118,8 @@
             stallDetector.check(nowMs);
             stallDetector.connectionAccepted();
         }
-        assertTrue(nowMs >= FOUND_MS + 1900 && nowMs <= FOUND_MS + 2100, "until " + nowMs);
+        assertTrue(nowMs >= STALL_END_MS + 1900 && nowMs <= STALL_END_MS + 2100, "until " + nowMs);
         stallDetector.connectionAccepted();
-        assertFalse(stallDetector.isStalled(nowMs), "a connection alone tells nothing");
+        assertFalse(stallDetector.isStalled(nowMs), "an accepted connection alone is no stall");
     }
 }
--- a/src/test/java/ivybank/common/NextSelectTest.java
+++ b/src/test/java/ivybank/common/NextSelectTest.java
@@ -25,13 +25,16 @@
 @Timeout(20)
 class NextSelectTest {
 
-    /** The pass in which it is asked for is held up until far more than a millisecond is over: what came meanwhile is read first. */
+    /**
+     * The pass in which the task is submitted stalls for much more than a millisecond; what arrived meanwhile must be read
+     * first.
+     */
     @Test
-    void whatHasComeInAPassThatIsHeldUpIsReadBeforeTheTaskRuns() throws Exception {
+    void inputThatArrivesDuringAStalledPassIsReadBeforeTheTaskRuns() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         List<String> order = new CopyOnWriteArrayList<>();
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch passStalled = new CountDownLatch(1);
+        CountDownLatch resumePass = new CountDownLatch(1);
         CountDownLatch ran = new CountDownLatch(1);
         try {
             Channel listener = new ServerBootstrap()
@@ -45,13 +48,13 @@
                                 protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes)
                                         throws InterruptedException {
                                     order.add("read");
-                                    if (held.getCount() > 0) {
+                                    if (passStalled.getCount() > 0) {
                                         NextSelect.runAfter(ctx.executor(), () -> {
                                             order.add("ran");
                                             ran.countDown();
                                         });
-                                        held.countDown();
-                                        go.await();
+                                        passStalled.countDown();
+                                        resumePass.await();
                                     }
                                 }
                             });
@@ -63,10 +66,10 @@
             int port = ((InetSocketAddress) listener.localAddress()).getPort();
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.getOutputStream().write(1);
-                held.await();
+                passStalled.await();
                 socket.getOutputStream().write(2);
-                Thread.sleep(50); // what falls due in a millisecond is overdue when the pass goes on
-                go.countDown();
+                Thread.sleep(50); // a task due after a millisecond is overdue when the pass continues
+                resumePass.countDown();
                 assertTrue(ran.await(10, TimeUnit.SECONDS));
                 assertEquals(List.of("read", "read", "ran"), order);
             }
--- a/src/test/java/ivybank/common/RecoveryTimeTest.java
+++ b/src/test/java/ivybank/common/RecoveryTimeTest.java
@@ -6,34 +6,41 @@
 
 class RecoveryTimeTest {
 
-    private static double time(double faultS, double... shares) {
+    private static double recoveryTime(double faultS, double... shares) {
         return RecoveryTime.seconds(second -> shares[second], shares.length, faultS);
     }
 
     @Test
-    void itIsBackWhenItIsWhereItWasAndStaysForFiveSeconds() {
-        assertEquals(3, time(5, 1, 1, 1, 1, 1, 0.2, 0.5, 0.9, 1, 1, 1, 1, 1, 1));
-        assertEquals(0, time(5.5, 1, 1, 1, 1, 1, 0.97, 1, 1, 1, 1, 1), "it never fell by more than a twentieth");
+    void recoveryNeedsTheBaselineForFiveSeconds() {
+        assertEquals(3, recoveryTime(5, 1, 1, 1, 1, 1, 0.2, 0.5, 0.9, 1, 1, 1, 1, 1, 1));
+        assertEquals(0, recoveryTime(5.5, 1, 1, 1, 1, 1, 0.97, 1, 1, 1, 1, 1), "service never fell by more than 5%");
         assertEquals(
-                1.5, time(5.5, 1, 1, 1, 1, 1, 0, 0, 0.96, 1, 1, 1, 1, 1), "from the fault on, not from its second");
+                1.5,
+                recoveryTime(5.5, 1, 1, 1, 1, 1, 0, 0, 0.96, 1, 1, 1, 1, 1),
+                "counted from the fault, not from the beginning of its second");
     }
 
     @Test
-    void aSecondOfFullServiceThatDoesNotLastIsNone() {
-        assertEquals(5, time(5, 1, 1, 1, 1, 1, 0, 1, 0.2, 1, 0.5, 1, 1, 1, 1, 1, 1));
+    void aSingleSecondOfFullServiceIsNoRecovery() {
+        assertEquals(5, recoveryTime(5, 1, 1, 1, 1, 1, 0, 1, 0.2, 1, 0.5, 1, 1, 1, 1, 1, 1));
     }
 
     @Test
-    void whatIsMeasuredIsTheServiceOfBefore() {
-        assertEquals(1, time(5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.1, 0.48, 0.5, 0.5, 0.5, 0.5));
+    void recoveryIsRelativeToTheBaseline() {
+        assertEquals(1, recoveryTime(5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.1, 0.48, 0.5, 0.5, 0.5, 0.5));
     }
 
     @Test
-    void whereItDoesNotComeBackOrCantBeToldThatIsSaid() {
-        assertEquals(Double.POSITIVE_INFINITY, time(5, 1, 1, 1, 1, 1, 0, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5));
-        assertEquals(Double.POSITIVE_INFINITY, time(5, 1, 1, 1, 1, 1, 0, 1, 1), "too late to stay");
-        assertEquals(Double.NaN, time(0, 1, 1, 1, 1, 1, 1, 1));
-        assertEquals(Double.NaN, time(2, Double.NaN, Double.NaN, 1, 1, 1, 1, 1), "nobody asked before");
-        assertEquals(1, time(3, 1, 1, 1, 0, Double.NaN, 1, 1, 1, 1, 1), "a second in which nobody asks is no fault");
+    void noRecoveryIsInfiniteAndNoBaselineIsNaN() {
+        assertEquals(Double.POSITIVE_INFINITY, recoveryTime(5, 1, 1, 1, 1, 1, 0, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5));
+        assertEquals(
+                Double.POSITIVE_INFINITY,
+                recoveryTime(5, 1, 1, 1, 1, 1, 0, 1, 1),
+                "recovered too late for 5 s of data");
+        assertEquals(Double.NaN, recoveryTime(0, 1, 1, 1, 1, 1, 1, 1));
+        assertEquals(
+                Double.NaN, recoveryTime(2, Double.NaN, Double.NaN, 1, 1, 1, 1, 1), "no requests before the fault");
+        assertEquals(
+                1, recoveryTime(3, 1, 1, 1, 0, Double.NaN, 1, 1, 1, 1, 1), "a second without requests is no fault");
     }
 }
