--- a/src/main/java/ivybank/invariants/InvariantGuard.java
+++ b/src/main/java/ivybank/invariants/InvariantGuard.java
@@ -5,21 +5,22 @@
 import java.util.function.Consumer;
 
 /**
- * The last look at whatever is sent, repeated, closed or started. It keeps what is against the rules from happening, and counts
- * it: those before it should have seen to that, so that a count above 0 is a fault of this program. Used on one event loop.
+ * The last check before a request is sent or repeated, a connection is closed or serving starts. Prevents and counts
+ * violations of the rules; the callers should have prevented them already, so that a count above 0 is a fault of this
+ * program. Used on one event loop.
  */
 public final class InvariantGuard {
 
     /**
      * An attempt that is about to be written to its node.
      *
-     * @param nodeReady whether the list has the node ready
-     * @param requestCompleted whether the request is answered or its client has left
-     * @param listExpired whether the list may no longer be gone by
-     * @param nodeBudgetMs the time that the node is to be told, in milliseconds
-     * @param maxClientRemainingMs the time that the client has left at most, in milliseconds
-     * @param minClientRemainingMs the time that the client has left at least, in milliseconds
-     * @param repeat what other attempts of the request mean for this one
+     * @param nodeReady whether the node is ready in the list
+     * @param requestCompleted whether the request is answered or its client has disconnected
+     * @param listExpired whether the list is too old to be used
+     * @param nodeBudgetMs the time that the node is given, in milliseconds
+     * @param maxClientRemainingMs the most time that the client may have left, in milliseconds
+     * @param minClientRemainingMs the least time that the client may have left, in milliseconds
+     * @param repeat the risk that follows from other attempts of the request
      */
     public record Transmission(
             boolean nodeReady,
@@ -30,24 +31,24 @@
             double minClientRemainingMs,
             RepeatRisk repeat) {}
 
-    /** Slack of what a node may be told over what the client has left. */
-    private static final double TOLD_SLACK_MS = 150;
+    /** The tolerance by which a node's time may exceed what the client has left. */
+    private static final double NODE_BUDGET_SLACK_MS = 150;
 
-    private static final double LEAST_TOLD_MS = 1;
+    private static final double MIN_NODE_BUDGET_MS = 1;
 
     private final Consumer<String> log;
     private final Map<Verdict, Long> denied = new EnumMap<>(Verdict.class);
     private long violations;
-    private long violationsTold;
+    private long violationsReported;
 
-    /** @param log takes a line for each violation */
+    /** @param log receives a line for each violation */
     public InvariantGuard(Consumer<String> log) {
         this.log = log;
     }
 
-    /** Whether an attempt may be written now. */
+    /** Returns whether an attempt may be written now. */
     public Verdict checkSend(Transmission attempt) {
-        return judged(verdict(attempt), "sending");
+        return recorded(verdict(attempt), "sending");
     }
 
     private static Verdict verdict(Transmission attempt) {
@@ -63,7 +64,7 @@
         if (attempt.maxClientRemainingMs <= 0) {
             return Verdict.OUT_OF_TIME;
         }
-        if (attempt.nodeBudgetMs > Math.max(LEAST_TOLD_MS, attempt.minClientRemainingMs + TOLD_SLACK_MS)) {
+        if (attempt.nodeBudgetMs > Math.max(MIN_NODE_BUDGET_MS, attempt.minClientRemainingMs + NODE_BUDGET_SLACK_MS)) {
             return Verdict.TOO_MUCH_TIME_TOLD;
         }
         return switch (attempt.repeat) {
@@ -74,25 +75,26 @@
     }
 
     /**
-     * Whether a client's connection may be closed now.
+     * Returns whether a client's connection may be closed now.
      *
      * @param unanswered whether a request that was read on it has no answer yet
-     * @param broken whether nothing can be answered on it any more: its client has left, takes nothing, or was cut off
+     * @param broken whether nothing can be answered on it any more: its client has disconnected, does not read, or was cut
+     *     off
      */
     public Verdict checkClose(boolean unanswered, boolean broken) {
-        return judged(unanswered && !broken ? Verdict.UNANSWERED : Verdict.ALLOWED, "closing");
+        return recorded(unanswered && !broken ? Verdict.UNANSWERED : Verdict.ALLOWED, "closing");
     }
 
     /**
-     * Whether clients may be served from now on.
+     * Returns whether clients may be served from now on.
      *
      * @param asked whether discovery was asked, and has answered or is known not to
      */
     public Verdict checkStart(boolean asked) {
-        return judged(asked ? Verdict.ALLOWED : Verdict.NOT_ASKED, "starting");
+        return recorded(asked ? Verdict.ALLOWED : Verdict.NOT_ASKED, "starting");
     }
 
-    private Verdict judged(Verdict verdict, String what) {
+    private Verdict recorded(Verdict verdict, String what) {
         if (!verdict.isAllowed()) {
             denied.merge(verdict, 1L, Long::sum);
         }
@@ -103,14 +105,14 @@
         return verdict;
     }
 
-    /** How often something against the rules was kept from happening since this was asked last. */
+    /** Returns the number of violations prevented since the last call. */
     public long takeNewViolations() {
-        long fresh = violations - violationsTold;
-        violationsTold = violations;
-        return fresh;
+        long newViolations = violations - violationsReported;
+        violationsReported = violations;
+        return newViolations;
     }
 
-    /** How often each verdict but a yes was given. */
+    /** Returns how often each verdict other than {@link Verdict#ALLOWED} was given. */
     public Map<Verdict, Long> denied() {
         return Map.copyOf(denied);
     }
--- a/src/main/java/ivybank/invariants/RepeatRisk.java
+++ b/src/main/java/ivybank/invariants/RepeatRisk.java
@@ -5,29 +5,29 @@
 import ivybank.policy.Balancer.RequestClass;
 import java.util.List;
 
-/** What an attempt of a request means beside its others. */
+/** The risk that an attempt repeats what other attempts of its request have done. */
 public enum RepeatRisk {
-    /** It is the first that can run, or a second run does no harm. */
+    /** No other attempt can have run, or a second run is harmless. */
     HARMLESS,
-    /** One of a key that the nodes may have forgotten by now. */
+    /** A keyed request whose key the nodes may have forgotten by now. */
     WINDOW_EXPIRED,
-    /** One that must not run twice and may have run, or one of a key outside the nodes that know of it. */
+    /** A request that must not run twice and may have run, or a keyed one outside the group of nodes that know its key. */
     MAY_RUN_TWICE;
 
     /**
      * Another attempt of the request.
      *
-     * @param mayHaveRun whether it is out, or has ended in a way that does not prove that it did not run
-     * @param zone where it was sent
-     * @param cell where it was sent
-     * @param writtenMs when, in milliseconds; infinite where nothing of it was written
+     * @param mayHaveRun whether it is in flight, or ended in a way that does not prove that it did not run
+     * @param zone the zone of its node
+     * @param cell the cell of its node
+     * @param writtenMs when it was written, in milliseconds; infinite if nothing of it was written
      */
     public record OtherAttempt(boolean mayHaveRun, String zone, int cell, double writtenMs) {}
 
     /**
-     * Judges an attempt that would be written now to a node of this zone and cell.
+     * Returns the risk of an attempt that would be written now to a node of this zone and cell.
      *
-     * @param nowMs in milliseconds
+     * @param nowMs the current time in milliseconds
      */
     public static RepeatRisk of(RequestClass spec, List<OtherAttempt> others, String zone, int cell, double nowMs) {
         if (spec.effect() == Effect.SAFE) {
@@ -38,7 +38,7 @@
             if (!attempt.mayHaveRun) {
                 continue;
             }
-            if (spec.effect() == Effect.UNSAFE || !isOneGroup(spec.group(), attempt, zone, cell)) {
+            if (spec.effect() == Effect.UNSAFE || !isSameGroup(spec.group(), attempt, zone, cell)) {
                 return MAY_RUN_TWICE;
             }
             firstMs = Math.min(firstMs, attempt.writtenMs);
@@ -46,7 +46,7 @@
         return nowMs - firstMs >= spec.windowMs() ? WINDOW_EXPIRED : HARMLESS;
     }
 
-    private static boolean isOneGroup(Group group, OtherAttempt attempt, String zone, int cell) {
+    private static boolean isSameGroup(Group group, OtherAttempt attempt, String zone, int cell) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> attempt.zone.equals(zone);
--- a/src/main/java/ivybank/invariants/Verdict.java
+++ b/src/main/java/ivybank/invariants/Verdict.java
@@ -1,26 +1,26 @@
 package ivybank.invariants;
 
-/** What the guard says of something that is about to happen. */
+/** The guard's decision on an action. */
 public enum Verdict {
-    /** It may happen. */
+    /** The action may be performed. */
     ALLOWED(true, false),
-    /** The list has not been confirmed for as long as it may be gone by. */
+    /** The list has not been confirmed within the time for which it may be used. */
     LIST_LAPSED(false, false),
-    /** Its client has no time left. */
+    /** The client has no time left. */
     OUT_OF_TIME(false, false),
-    /** The window in which a repeat is dropped passed while the attempt waited. */
+    /** The window in which nodes drop a repeat ended while the attempt waited. */
     WINDOW_OVER(false, false),
     /** The node drains or is gone. */
     NODE_LEFT(false, true),
-    /** The request is answered, or its client has left. */
+    /** The request is answered, or its client has disconnected. */
     REQUEST_OVER(false, true),
-    /** It may have run, and must not run twice. */
+    /** The request may have run, and must not run twice. */
     MAY_RUN_TWICE(false, true),
-    /** More time was to be told to the node than the client has left. */
+    /** The node would have been given more time than the client has left. */
     TOO_MUCH_TIME_TOLD(false, true),
-    /** A request in hand on the connection has no answer yet. */
+    /** A request on the connection has no answer yet. */
     UNANSWERED(false, true),
-    /** Clients were to be served before discovery was asked. */
+    /** Clients would have been served before discovery was asked. */
     NOT_ASKED(false, true);
 
     private final boolean allowed;
@@ -31,12 +31,15 @@
         this.violation = violation;
     }
 
-    /** Whether it may happen. */
+    /** Returns whether the action may be performed. */
     public boolean isAllowed() {
         return allowed;
     }
 
-    /** Whether whoever wanted it should have known better; the others come of time that passed while something waited. */
+    /**
+     * Returns whether the caller should not have asked for the action; other denials result from time that passed while
+     * something waited.
+     */
     public boolean isViolation() {
         return violation;
     }
--- a/src/main/java/ivybank/invariants/package-info.java
+++ b/src/main/java/ivybank/invariants/package-info.java
@@ -1,2 +1,2 @@
-/** The rules that hold at the moment at which something is sent, repeated, closed or started; no input, output or clock. */
+/** The rules checked at the moment at which something is sent, repeated, closed or started. They use no I/O and no clock. */
 package ivybank.invariants;
--- a/src/test/java/ivybank/invariants/GuardPathsTest.java
+++ b/src/test/java/ivybank/invariants/GuardPathsTest.java
@@ -18,11 +18,11 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The build finds a way to send, repeat, close or start, or a chain of steps, that goes round the guard or the watchdog. */
+/** Finds code that sends, repeats, closes or starts without the guard, or runs recurring tasks without the watchdog. */
 class GuardPathsTest {
 
-    /** The parts that a serving process is made of. */
-    private static final JavaClasses SERVING = new ClassFileImporter()
+    /** The packages that a serving process consists of. */
+    private static final JavaClasses SERVING_CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages(
                     "ivybank.client",
@@ -36,12 +36,12 @@
                     "ivybank.supervision",
                     "ivybank.transport");
 
-    /** Which methods, as Class.method, call something; lambdas count for the methods that they stand in. */
-    private static Set<String> callers(Predicate<JavaCodeUnit> in, String owner, String method) {
+    /** Returns the methods, as Class.method, that call a method; a lambda counts for its enclosing method. */
+    private static Set<String> callers(Predicate<JavaCodeUnit> filter, String owner, String method) {
         Set<String> callers = new TreeSet<>();
-        SERVING.stream()
+        SERVING_CLASSES.stream()
                 .flatMap(type -> type.getCodeUnits().stream())
-                .filter(in)
+                .filter(filter)
                 .forEach(unit -> unit.getCallsFromSelf().stream()
                         .filter(call ->
                                 call.getTarget().getOwner().getSimpleName().equals(owner)
@@ -55,24 +55,26 @@
         return unit.getOwner().getSimpleName() + "." + method;
     }
 
-    private static boolean inPackage(JavaCodeUnit unit, String part) {
-        return unit.getOwner().getPackageName().equals("ivybank." + part);
+    private static boolean inPackage(JavaCodeUnit unit, String name) {
+        return unit.getOwner().getPackageName().equals("ivybank." + name);
     }
 
     @Test
-    void anAttemptIsWrittenOnlyBehindTheGuard() {
+    void attemptsAreWrittenOnlyAfterTheGuardsCheck() {
         assertEquals(
-                Set.of("UpstreamConnection.send"), callers(unit -> true, "UpstreamConnection", "write"), "who writes");
+                Set.of("UpstreamConnection.send"),
+                callers(unit -> true, "UpstreamConnection", "write"),
+                "callers of UpstreamConnection.write");
         assertEquals(Set.of("UpstreamPool.write"), callers(unit -> true, "UpstreamConnection", "send"));
         assertTrue(callers(unit -> true, "UpstreamAttempt", "mayBeWritten").contains("UpstreamConnection.send"));
-        Set<String> requests =
+        Set<String> creators =
                 new TreeSet<>(callers(unit -> inPackage(unit, "upstream"), "DefaultFullHttpRequest", "<init>"));
-        requests.addAll(callers(unit -> inPackage(unit, "upstream"), "DefaultHttpRequest", "<init>"));
-        assertEquals(Set.of("UpstreamConnection.write"), requests, "who makes a request for a node");
+        creators.addAll(callers(unit -> inPackage(unit, "upstream"), "DefaultHttpRequest", "<init>"));
+        assertEquals(Set.of("UpstreamConnection.write"), creators, "creators of requests to nodes");
     }
 
     @Test
-    void eachAttemptIsMadeWhereTheGuardIsAskedForIt() {
+    void attemptsAreCreatedOnlyWhereTheGuardIsAsked() {
         assertEquals(Set.of("AttemptSender.send"), callers(unit -> true, "UpstreamAttempt", "<init>"));
         assertEquals(
                 Set.of("AttemptSender"),
@@ -83,37 +85,38 @@
     }
 
     @Test
-    void aClientsConnectionIsClosedOnlyBehindTheGuardOrWhenItIsBroken() {
-        Set<String> closers = new TreeSet<>();
+    void clientConnectionsAreClosedOnlyAfterTheGuardsCheckOrWhenBroken() {
+        Set<String> closingMethods = new TreeSet<>();
         for (String owner : Set.of("ChannelHandlerContext", "Channel", "ChannelOutboundInvoker")) {
-            closers.addAll(callers(unit -> inPackage(unit, "client"), owner, "close"));
+            closingMethods.addAll(callers(unit -> inPackage(unit, "client"), owner, "close"));
         }
         assertEquals(
-                Set.of("ClientAcceptor.close", "ClientConnection.close", "ClientConnection.exceptionCaught"), closers);
+                Set.of("ClientAcceptor.close", "ClientConnection.close", "ClientConnection.exceptionCaught"),
+                closingMethods);
         assertEquals(Set.of("ClientConnection.close"), callers(unit -> true, "InvariantGuard", "checkClose"));
     }
 
     @Test
-    void clientsAreServedOnlyBehindTheGuard() {
+    void clientsAreServedOnlyAfterTheGuardsCheck() {
         assertEquals(Set.of("Sidecar.listen", "Warmup.begin"), callers(unit -> true, "ClientServer", "listen"));
         assertEquals(Set.of("Sidecar.listen"), callers(unit -> true, "InvariantGuard", "checkStart"));
-        Set<String> binders = new TreeSet<>(callers(unit -> true, "ServerBootstrap", "bind"));
-        binders.addAll(callers(unit -> true, "ServerBootstrap", "register"));
-        assertEquals(Set.of("AdminEndpoint.open", "ClientAcceptor.open", "Warmup.begin"), binders);
+        Set<String> bindingMethods = new TreeSet<>(callers(unit -> true, "ServerBootstrap", "bind"));
+        bindingMethods.addAll(callers(unit -> true, "ServerBootstrap", "register"));
+        assertEquals(Set.of("AdminEndpoint.open", "ClientAcceptor.open", "Warmup.begin"), bindingMethods);
     }
 
     @Test
-    void connectionsFromHereHaveOneEndAndChainsOneOwner() {
+    void outboundConnectionsAndTimersUseTheSupervisionClasses() {
         assertEquals(Set.of("OutboundConnection.open", "Warmup.begin"), callers(unit -> true, "Bootstrap", "connect"));
         ArchRuleDefinition.noClasses()
                 .should()
                 .callMethodWhere(target(nameMatching("scheduleAtFixedRate|scheduleWithFixedDelay")))
-                .because("a periodic task of Java ends for good when one run throws: PeriodicTask does not")
-                .check(SERVING);
+                .because("a periodic task of ScheduledExecutorService ends when a run throws; use PeriodicTask")
+                .check(SERVING_CLASSES);
         ArchRuleDefinition.noClasses()
                 .should()
                 .callMethodWhere(target(name("currentTimeMillis")).and(target(owner(name("java.lang.System")))))
-                .because("spans of time are of the monotonic clock; Clock alone reads the wall clock, once")
-                .check(SERVING);
+                .because("durations are measured by the monotonic clock; only Clock reads the wall clock, once")
+                .check(SERVING_CLASSES);
     }
 }
--- a/src/test/java/ivybank/invariants/InvariantGuardTest.java
+++ b/src/test/java/ivybank/invariants/InvariantGuardTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the guard denies, and what of that counts as a violation. */
+/** Tests what the guard denies, and which denials count as violations. */
 class InvariantGuardTest {
 
     private final List<String> lines = new ArrayList<>();
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whatTheRulesAllowIsSentAndNothingIsCounted() {
+    void allowedActionsAreNotCounted() {
         assertEquals(Verdict.ALLOWED, guard.checkSend(attempt(true, false, false, 500, 500, 400, RepeatRisk.HARMLESS)));
         assertEquals(Verdict.ALLOWED, guard.checkSend(attempt(true, false, false, 1, 200, -500, RepeatRisk.HARMLESS)));
         assertEquals(Verdict.ALLOWED, guard.checkClose(false, false));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whatTimeHasTakenAwayIsDeniedAndIsNoViolation() {
+    void denialsForElapsedTimeAreNoViolations() {
         assertEquals(
                 Verdict.LIST_LAPSED, guard.checkSend(attempt(true, false, true, 500, 500, 500, RepeatRisk.HARMLESS)));
         assertEquals(Verdict.OUT_OF_TIME, guard.checkSend(attempt(true, false, false, 1, 0, 0, RepeatRisk.HARMLESS)));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void whatShouldHaveBeenSeenToBeforeIsDeniedCountedAndTold() {
+    void violationsAreDeniedCountedAndLogged() {
         assertEquals(
                 Verdict.NODE_LEFT, guard.checkSend(attempt(false, false, false, 1, 500, 500, RepeatRisk.HARMLESS)));
         assertEquals(
@@ -63,7 +63,7 @@
         assertEquals(Verdict.UNANSWERED, guard.checkClose(true, false));
         assertEquals(Verdict.NOT_ASKED, guard.checkStart(false));
         assertEquals(6, guard.takeNewViolations());
-        assertEquals(0, guard.takeNewViolations(), "told once");
+        assertEquals(0, guard.takeNewViolations(), "each violation is reported once");
         assertEquals(6, lines.size());
     }
 }
