--- a/src/main/java/ivybank/supervision/EventLoopTasks.java
+++ b/src/main/java/ivybank/supervision/EventLoopTasks.java
@@ -3,16 +3,16 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 
-/** Hands tasks to an event loop from callbacks that must not fail for it. */
+/** Submits tasks to an event loop from callbacks that must not fail. */
 public final class EventLoopTasks {
 
     private EventLoopTasks() {}
 
     /**
-     * Hands a task over. Waking the loop is a write, which may fail when the task is in the queue already: it is run with the
+     * Submits a task. Waking up the loop is a write, which may fail although the task is already queued; it runs with the
      * loop's next event then.
      *
-     * @return whether the loop takes it; false when it has been shut down
+     * @return whether the loop accepts it; false if it has been shut down
      */
     public static boolean execute(Executor loop, Runnable task) {
         try {
--- a/src/main/java/ivybank/supervision/OutboundConnection.java
+++ b/src/main/java/ivybank/supervision/OutboundConnection.java
@@ -9,34 +9,34 @@
 import java.net.SocketAddress;
 
 /**
- * A connection from this process. Guards against what Netty leaves open where a channel can't even be made, for want of a
- * descriptor or of memory in the system: the future that tells its end is never completed then, and others are completed on a
- * thread that is not the event loop's. Here the end of each one that was begun is told once, on the event loop.
+ * A connection opened by this process, whose end is reported exactly once, on the event loop. Netty does not guarantee that
+ * if a channel can't even be created for lack of a descriptor or of memory: its close future is never completed then, and
+ * other futures are completed on a thread other than the event loop's.
  */
 public final class OutboundConnection {
 
-    /** Told what becomes of a connection, on its event loop and never before {@link #open} has returned. */
+    /** Receives the events of a connection, on its event loop and never before {@link #open} has returned. */
     public interface Listener {
 
-        /** It is up. */
+        /** Notifies that the connection is established. */
         void up(Channel channel);
 
         /**
-         * It has not come up, and nothing of it is left.
+         * Notifies that the connection could not be established; its resources are released.
          *
-         * @param local whether this machine is the reason, and not the other side
+         * @param local whether this machine is the cause, and not the other side
          */
         void failed(Throwable cause, boolean local);
 
-        /** It was up and has ended. */
+        /** Notifies that an established connection has closed. */
         void closed();
     }
 
-    /** What became of it. */
+    /** The state of the connection. */
     private enum State {
         OPENING,
         UP,
-        OVER
+        CLOSED
     }
 
     private final Listener listener;
@@ -47,7 +47,7 @@
         this.listener = listener;
     }
 
-    /** Begins to connect. On the event loop, which is the bootstrap's. */
+    /** Starts to connect. Must be called on the event loop, which must be the bootstrap's. */
     public static OutboundConnection open(
             Bootstrap bootstrap, EventLoop loop, SocketAddress address, Listener listener) {
         OutboundConnection connection = new OutboundConnection(listener);
@@ -73,7 +73,7 @@
 
     private void fail(Throwable cause) {
         if (state == State.OPENING) {
-            state = State.OVER;
+            state = State.CLOSED;
             closeForcibly();
             listener.failed(cause, isLocal(cause));
         }
@@ -81,12 +81,12 @@
 
     private void end() {
         if (state == State.UP) {
-            state = State.OVER;
+            state = State.CLOSED;
             listener.closed();
         }
     }
 
-    /** Ends it, whatever it waits for: its end is told before this returns, unless it was told before. */
+    /** Closes the connection in any state; its end is reported before this returns, unless it was reported before. */
     public void abandon(String why) {
         if (state == State.OPENING) {
             fail(new ConnectException(why));
@@ -96,18 +96,18 @@
         }
     }
 
-    /** Whether its end has been told. */
+    /** Returns whether the connection's end has been reported. */
     public boolean isClosed() {
-        return state == State.OVER;
+        return state == State.CLOSED;
     }
 
-    /** Whether it was up and its channel has ended, although that was not told. */
+    /** Returns whether the connection was established and its channel has closed without a report. */
     public boolean hasClosedUnreported() {
         return state == State.UP && !channel.isOpen();
     }
 
     private void closeForcibly() {
-        if (channel == null || !channel.isOpen()) { // one that was never made is not open
+        if (channel == null || !channel.isOpen()) { // a channel that was never created is not open
             return;
         }
         if (channel.isRegistered()) {
@@ -117,7 +117,10 @@
         }
     }
 
-    /** Refused, without an answer or without a route is the other side; no descriptor, port or network is this machine. */
+    /**
+     * Returns whether this machine is the cause. Connection refused, timed out or no route is attributed to the other side;
+     * lack of a descriptor, port or network to this machine.
+     */
     private static boolean isLocal(Throwable cause) {
         return !(cause instanceof ConnectException) && !(cause instanceof NoRouteToHostException);
     }
--- a/src/main/java/ivybank/supervision/PeriodicTask.java
+++ b/src/main/java/ivybank/supervision/PeriodicTask.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs a step again and again, whatever becomes of a run: one that throws is logged, and the next one comes all the same. With
- * a {@link Watchdog} a run whose timer is lost is made up for too. Its runs are on one thread; it may be asked on another.
+ * Runs a step periodically. A run that throws is logged, and the next follows all the same. With a {@link Watchdog}, a run
+ * whose timer is lost is made up for as well. Runs use one thread; the state may be read on another.
  */
 public final class PeriodicTask implements SupervisedTask {
 
-    /** A run counts as lost so many periods after it was due, and at least so many milliseconds. */
+    /** A run counts as lost this many periods after it was due, and at least this many milliseconds. */
     private static final double LOST_PERIODS = 3;
 
-    private static final double LOST_MS = 500;
+    private static final double MIN_LOST_MS = 500;
     private static final double MICROS_IN_MS = 1000;
-    /** What keeps failing in the same way is logged once in so many runs. */
-    private static final long LOGGED_FAILURES = 100;
+    /** Repeated failures are logged once in this many times. */
+    private static final long FAILURES_PER_LOG_LINE = 100;
 
     private final String name;
     private final ScheduledExecutorService executor;
@@ -25,7 +25,7 @@
     private final Log log;
     private final long periodMs;
     private final Runnable step;
-    private final boolean atRate;
+    private final boolean fixedRate;
     private volatile double nextRunMs = NEVER;
     private volatile int timer;
     private volatile long failures;
@@ -44,21 +44,21 @@
         this.clock = clock;
         this.log = log;
         this.periodMs = periodMs;
-        this.atRate = atRate;
+        this.fixedRate = atRate;
         this.step = step;
     }
 
     /**
-     * Runs a step each period, the first time after one; a run that comes late moves those behind it.
+     * Runs a step once per period, for the first time after one period; a late run delays those after it.
      *
-     * @param periodMs in milliseconds
+     * @param periodMs the period in milliseconds
      */
     public static PeriodicTask start(
             String name, ScheduledExecutorService executor, Clock clock, Log log, long periodMs, Runnable step) {
         return start(new PeriodicTask(name, executor, clock, log, periodMs, false, step));
     }
 
-    /** The same, but for a run that comes late, which leaves those behind it where they are. */
+    /** Runs a step once per period at a fixed rate: a late run does not delay those after it. */
     public static PeriodicTask startAtRate(
             String name, ScheduledExecutorService executor, Clock clock, Log log, long periodMs, Runnable step) {
         return start(new PeriodicTask(name, executor, clock, log, periodMs, true, step));
@@ -70,7 +70,7 @@
         return task;
     }
 
-    /** Runs no more; what is running ends. */
+    /** Starts no further runs; a current run continues to its end. */
     public void stop() {
         stopped = true;
     }
@@ -87,13 +87,13 @@
 
     @Override
     public double dueMs() {
-        return stopped ? NEVER : nextRunMs + Math.max(LOST_MS, LOST_PERIODS * periodMs);
+        return stopped ? NEVER : nextRunMs + Math.max(MIN_LOST_MS, LOST_PERIODS * periodMs);
     }
 
     @Override
     public void restart() {
         int current = timer;
-        nextRunMs = clock.nowMs(); // it has as long again
+        nextRunMs = clock.nowMs(); // allow the restarted run the full time
         EventLoopTasks.execute(executor, () -> run(current));
     }
 
@@ -101,7 +101,7 @@
     private void schedule() {
         int current = ++timer;
         double nowMs = clock.nowMs();
-        nextRunMs = atRate ? Math.max(nowMs, nextRunMs + periodMs) : nowMs + periodMs;
+        nextRunMs = fixedRate ? Math.max(nowMs, nextRunMs + periodMs) : nowMs + periodMs;
         long delayMicros = (long) ((nextRunMs - nowMs) * MICROS_IN_MS);
         executor.schedule(() -> run(current), delayMicros, TimeUnit.MICROSECONDS);
     }
@@ -114,8 +114,8 @@
         try {
             step.run();
         } catch (RuntimeException | Error e) {
-            if (failures++ % LOGGED_FAILURES == 0) {
-                log.line(name + " failed, and goes on: " + e);
+            if (failures++ % FAILURES_PER_LOG_LINE == 0) {
+                log.line(name + " failed; continuing with the next run: " + e);
             }
         } finally {
             schedule();
--- a/src/main/java/ivybank/supervision/StartRetry.java
+++ b/src/main/java/ivybank/supervision/StartRetry.java
@@ -7,49 +7,49 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** Tries what a process needs at its start again where the system fails it for a moment. Blocks; never on an event loop. */
+/** Retries what a process needs at startup after transient failures of the system. Blocks; must not be used on an event loop. */
 public final class StartRetry {
 
-    private static final long LONGEST_MS = 10_000;
-    private static final long PAUSE_MS = 50;
+    private static final long TIMEOUT_MS = 10_000;
+    private static final long RETRY_DELAY_MS = 50;
 
     private StartRetry() {}
 
     /**
      * Runs an action until it succeeds, for 10 s at most.
      *
-     * @param lasting which failures no time mends: those are thrown at once
+     * @param permanent tells which failures are permanent; these are thrown at once
      * @throws IOException the last failure
      */
-    public static <T> T call(String what, Log log, Predicate<Throwable> lasting, Callable<T> action)
+    public static <T> T call(String what, Log log, Predicate<Throwable> permanent, Callable<T> action)
             throws IOException {
-        long fromNanos = System.nanoTime();
-        boolean told = false;
+        long startNanos = System.nanoTime();
+        boolean logged = false;
         while (true) {
             try {
                 return action.call();
             } catch (Exception | Error e) {
-                boolean late = System.nanoTime() - fromNanos > TimeUnit.MILLISECONDS.toNanos(LONGEST_MS);
-                if (late || lasting.test(e) || isAddressInUse(e) || !pause()) {
+                boolean timedOut = System.nanoTime() - startNanos > TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+                if (timedOut || permanent.test(e) || isAddressInUse(e) || !pause()) {
                     throw asIoException(e);
                 }
-                if (!told) {
-                    log.line(what + " failed, and is tried again for a while: " + e);
-                    told = true;
+                if (!logged) {
+                    log.line(what + " failed; retrying for up to 10 s: " + e);
+                    logged = true;
                 }
             }
         }
     }
 
-    /** Whether another program has the address. */
+    /** Returns whether another program uses the address. */
     public static boolean isAddressInUse(Throwable failure) {
         return String.valueOf(failure.getMessage()).toLowerCase(Locale.ROOT).contains("address already in use");
     }
 
-    /** False where the thread is told to end. */
+    /** Waits before the next attempt; returns false if the thread is interrupted. */
     private static boolean pause() {
         try {
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(RETRY_DELAY_MS);
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/ivybank/supervision/SupervisedTask.java
+++ b/src/main/java/ivybank/supervision/SupervisedTask.java
@@ -1,24 +1,24 @@
 package ivybank.supervision;
 
 /**
- * A chain of steps that must go on for as long as the process serves: each step brings about the next one. Its owner names the
- * state that it is in and by when that state must have ended. Times are in milliseconds of the process's monotonic clock. Used
+ * A chain of steps that must continue as long as the process serves: each step triggers the next. The owner states the
+ * current state and the time by which it must have ended. Times are in milliseconds of the process's monotonic clock. Used
  * on the owner's event loop alone.
  */
 public interface SupervisedTask {
 
-    /** The due time of a chain that waits for nothing. */
+    /** The due time of a task that waits for nothing. */
     double NEVER = Double.POSITIVE_INFINITY;
 
-    /** What it is called in the log. */
+    /** Returns the name for the log. */
     String name();
 
-    /** The state that it is in, in a word. */
+    /** Returns a word for the current state. */
     String state();
 
-    /** By when its next step must have happened; {@link #NEVER} where none has to. */
+    /** Returns the time by which the next step must have happened; {@link #NEVER} if none must. */
     double dueMs();
 
-    /** Gives up the step at hand, gives back what that has taken, and begins the next one. */
+    /** Aborts the current step, releases its resources and starts the next one. */
     void restart();
 }
--- a/src/main/java/ivybank/supervision/Watchdog.java
+++ b/src/main/java/ivybank/supervision/Watchdog.java
@@ -8,22 +8,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Restarts chains whose next step is overdue. It is checked by a timer of its own, and by whatever calls {@link #checkIfDue},
- * so that a timer that is lost is made up for by another one. Used on one event loop.
+ * Restarts tasks whose next step is overdue. It is run by its own timer and by whatever calls {@link #checkIfDue}, so that a
+ * lost timer is made up for by another one. Used on one event loop.
  */
 public final class Watchdog {
 
-    /** How often chains are looked at. */
-    private static final long PERIOD_MS = 50;
-    /** A timer of its own that is later than this is taken for lost. */
-    private static final double LOST_MS = 4.0 * PERIOD_MS;
+    /** The interval between checks. */
+    private static final long CHECK_INTERVAL_MS = 50;
+    /** The delay after which the watchdog's own timer counts as lost. */
+    private static final double LOST_TIMER_MS = 4.0 * CHECK_INTERVAL_MS;
 
     private final ScheduledExecutorService executor;
     private final Clock clock;
     private final Log log;
-    private final List<SupervisedTask> chains = new ArrayList<>();
+    private final List<SupervisedTask> tasks = new ArrayList<>();
     private double nextCheckMs = SupervisedTask.NEVER;
-    /** Which timer counts: one that was replaced and comes after all does nothing. */
+    /** The number of the current timer; one that has been replaced does nothing if it still fires. */
     private int timer;
 
     public Watchdog(ScheduledExecutorService executor, Clock clock, Log log) {
@@ -32,27 +32,27 @@
         this.log = log;
     }
 
-    /** From now on restarts this chain when it is overdue. */
-    public void watch(SupervisedTask chain) {
-        chains.add(chain);
+    /** Adds a task to be restarted when it is overdue. */
+    public void watch(SupervisedTask task) {
+        tasks.add(task);
     }
 
-    /** Begins to check. */
+    /** Starts the periodic checks. */
     public void start() {
         schedule();
     }
 
-    /** Checks if its own timer did not: cheap enough for each event. */
+    /** Checks the tasks if the watchdog's own timer did not; cheap enough to be called on each event. */
     public void checkIfDue() {
-        if (clock.nowMs() > nextCheckMs + LOST_MS) {
+        if (clock.nowMs() > nextCheckMs + LOST_TIMER_MS) {
             check(timer);
         }
     }
 
     private void schedule() {
         int current = ++timer;
-        nextCheckMs = clock.nowMs() + PERIOD_MS;
-        executor.schedule(() -> check(current), PERIOD_MS, TimeUnit.MILLISECONDS);
+        nextCheckMs = clock.nowMs() + CHECK_INTERVAL_MS;
+        executor.schedule(() -> check(current), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void check(int current) {
@@ -60,22 +60,22 @@
             return;
         }
         try {
-            chains.forEach(this::check);
+            tasks.forEach(this::check);
         } finally {
             schedule();
         }
     }
 
-    private void check(SupervisedTask chain) {
+    private void check(SupervisedTask task) {
         try {
-            double overdueMs = clock.nowMs() - chain.dueMs();
+            double overdueMs = clock.nowMs() - task.dueMs();
             if (overdueMs > 0) {
-                log.line(chain.name() + " is overdue by " + Math.round(overdueMs) + " ms in state " + chain.state()
-                        + ": started again");
-                chain.restart();
+                log.line(task.name() + " is overdue by " + Math.round(overdueMs) + " ms in state " + task.state()
+                        + ": restarting it");
+                task.restart();
             }
         } catch (RuntimeException | Error e) {
-            log.line(chain.name() + " could not be started again, and is tried anew: " + e);
+            log.line(task.name() + " could not be restarted; retrying: " + e);
         }
     }
 }
--- a/src/main/java/ivybank/supervision/package-info.java
+++ b/src/main/java/ivybank/supervision/package-info.java
@@ -1,2 +1,2 @@
-/** Keeps chains of steps going, whatever becomes of one step, and tells the end of each connection that was begun. */
+/** Keeps periodic and chained tasks running after a failed step, and reports the end of each outbound connection. */
 package ivybank.supervision;
--- a/src/test/java/ivybank/supervision/SupervisionTest.java
+++ b/src/test/java/ivybank/supervision/SupervisionTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Chains of steps that go on after a step that throws, is lost or never ends. */
+/** Tests tasks that continue after a step that throws, is lost or never ends. */
 @Timeout(30)
 class SupervisionTest {
 
@@ -42,15 +42,15 @@
         executor.shutdownNow();
     }
 
-    /** A chain that is overdue until it is started again, and fails to be started the first times. */
-    private final class LostChain implements SupervisedTask {
-        final AtomicInteger tries = new AtomicInteger();
+    /** A task that is overdue until it is restarted, and whose first restarts fail. */
+    private final class OverdueTask implements SupervisedTask {
+        final AtomicInteger attempts = new AtomicInteger();
         final CountDownLatch restarted = new CountDownLatch(1);
         private volatile double dueMs = clock.nowMs();
 
         @Override
         public String name() {
-            return "lost";
+            return "overdue task";
         }
 
         @Override
@@ -65,8 +65,8 @@
 
         @Override
         public void restart() {
-            if (tries.incrementAndGet() < 3) {
-                throw new IllegalStateException("not yet");
+            if (attempts.incrementAndGet() < 3) {
+                throw new IllegalStateException("restart fails");
             }
             dueMs = NEVER;
             restarted.countDown();
@@ -74,14 +74,14 @@
     }
 
     @Test
-    void aRunThatThrowsIsFollowedByTheNext() throws Exception {
+    void periodicTaskContinuesAfterAFailedRun() throws Exception {
         CountDownLatch runs = new CountDownLatch(5);
         PeriodicTask task = PeriodicTask.start("task", executor, clock, log, 5, () -> {
             runs.countDown();
             if (runs.getCount() % 2 == 0) {
-                throw new IllegalStateException("a fault");
+                throw new IllegalStateException("expected failure");
             }
-            throw new AssertionError("a worse one");
+            throw new AssertionError("expected error");
         });
         assertTrue(runs.await(10, TimeUnit.SECONDS));
         task.stop();
@@ -89,25 +89,25 @@
     }
 
     @Test
-    void whatIsOverdueIsStartedAgainUntilThatSucceeds() throws Exception {
-        LostChain chain = new LostChain();
+    void overdueTaskIsRestartedUntilTheRestartSucceeds() throws Exception {
+        OverdueTask task = new OverdueTask();
         Watchdog watchdog = new Watchdog(executor, clock, log);
         executor.submit(() -> {
-                    watchdog.watch(chain);
+                    watchdog.watch(task);
                     watchdog.start();
                 })
                 .get();
-        assertTrue(chain.restarted.await(10, TimeUnit.SECONDS));
-        assertEquals(3, chain.tries.get());
+        assertTrue(task.restarted.await(10, TimeUnit.SECONDS));
+        assertEquals(3, task.attempts.get());
     }
 
-    /** Netty's own future of such a channel is never completed. */
+    /** Netty never completes the future of such a channel. */
     @Test
-    void theEndOfAChannelThatWasNeverMadeIsToldOnceAndOnTheEventLoop() throws Exception {
+    void failureOfAChannelThatWasNeverCreatedIsReportedOnceOnTheEventLoop() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             EventLoop loop = group.next();
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
             Bootstrap failing = new Bootstrap()
                     .group(loop)
                     .handler(new ChannelInboundHandlerAdapter())
@@ -118,45 +118,45 @@
                             failing, loop, new InetSocketAddress("127.0.0.1", 1), new OutboundConnection.Listener() {
                                 @Override
                                 public void up(Channel channel) {
-                                    told.add("up");
+                                    events.add("up");
                                 }
 
                                 @Override
                                 public void failed(Throwable cause, boolean local) {
-                                    told.add("failed " + local + " " + loop.inEventLoop());
+                                    events.add("failed " + local + " " + loop.inEventLoop());
                                 }
 
                                 @Override
                                 public void closed() {
-                                    told.add("closed");
+                                    events.add("closed");
                                 }
                             }))
                     .get();
-            assertEquals("failed true true", told.poll(10, TimeUnit.SECONDS));
-            loop.submit(() -> connection.abandon("again")).get();
+            assertEquals("failed true true", events.poll(10, TimeUnit.SECONDS));
+            loop.submit(() -> connection.abandon("abandoned twice")).get();
             assertTrue(connection.isClosed());
-            assertEquals(0, told.size());
+            assertEquals(0, events.size());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(5, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void whatAStartNeedsIsTriedAgainUnlessNoTimeMendsIt() throws Exception {
-        AtomicInteger tries = new AtomicInteger();
-        assertEquals("done", StartRetry.call("a start", log, e -> false, () -> {
-            if (tries.incrementAndGet() < 3) {
+    void startIsRetriedUnlessTheFailureIsPermanent() throws Exception {
+        AtomicInteger attempts = new AtomicInteger();
+        assertEquals("done", StartRetry.call("startup", log, e -> false, () -> {
+            if (attempts.incrementAndGet() < 3) {
                 throw new IOException("No space left on device");
             }
             return "done";
         }));
-        assertEquals(3, tries.get());
-        IOException lasting = assertThrows(
+        assertEquals(3, attempts.get());
+        IOException permanent = assertThrows(
                 IOException.class,
-                () -> StartRetry.call("a start", log, e -> true, () -> {
+                () -> StartRetry.call("startup", log, e -> true, () -> {
                     throw new IOException("damaged");
                 }));
-        assertEquals("damaged", lasting.getMessage());
-        assertFalse(StartRetry.isAddressInUse(lasting));
+        assertEquals("damaged", permanent.getMessage());
+        assertFalse(StartRetry.isAddressInUse(permanent));
     }
 }
