--- a/src/main/java/ivybank/client/ClientAcceptor.java
+++ b/src/main/java/ivybank/client/ClientAcceptor.java
@@ -67,10 +67,10 @@
     private long acceptedAtLastCheck;
     private long failures;
 
-    ClientAcceptor(Clock clock, Log log, IntSupplier room) {
+    ClientAcceptor(Clock clock, Log log, IntSupplier freeCapacity) {
         this.clock = clock;
         this.log = log;
-        this.freeCapacity = room;
+        this.freeCapacity = freeCapacity;
     }
 
     /**
@@ -220,7 +220,7 @@
             return;
         }
         if ((freeCapacity.getAsInt() <= 0 || passesLeft == 0) && !channel.isAccepting()) {
-            log.line("closing the client listener at the connection limit; its backlog may not be empty");
+            log.line("closing the client listener although its backlog may not be empty");
             channel.close();
         } else if (passesLeft > 0) {
             pollBacklog(channel);
--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -117,7 +117,7 @@
     private boolean retiring;
     /** The number of reads that returned data. */
     private long readCount;
-    /** Whether a partial request has been received, and since when if the connection has carried others before. */
+    /** Whether a partial request has been received, and since when: its first bytes, or the connect if it is the first. */
     private boolean partial;
 
     private double partialSinceMs;
@@ -136,10 +136,10 @@
     /** Whether the connection is closed once the rest of a request has been read that was answered early. */
     private boolean closeAfterRequest;
 
-    ClientConnection(RequestReader reader, ClientServer server, RequestHandler driver, Clock clock) {
+    ClientConnection(RequestReader reader, ClientServer server, RequestHandler handler, Clock clock) {
         this.reader = reader;
         this.server = server;
-        this.handler = driver;
+        this.handler = handler;
         this.clock = clock;
         this.waiting = new RequestQueue(server);
         this.parser = new ArrivalParser(server, clock, this);
--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -60,9 +60,9 @@
      */
     private static final double RESERVED_SHARE = 0.15;
     /**
-     * The same while two processes of the sidecar run. Each has a smaller share of the CPU and stalls for longer, so that
-     * more requests arrive before it reads them; and a request that finds no connection costs far more then than one that is
-     * refused.
+     * The share that is kept free while two processes of the sidecar run. Each has a smaller share of the CPU and stalls for
+     * longer, so that more requests arrive before it reads them; and a request that finds no connection costs far more then
+     * than one that is refused.
      */
     private static final double RESERVED_SHARE_BESIDE_OTHER_PROCESS = 0.35;
 
@@ -103,14 +103,14 @@
     /** @param identityHeader the header field that identifies a request over all its retries; null if none is used */
     public ClientServer(
             Settings settings,
-            RequestHandler driver,
+            RequestHandler handler,
             Clock clock,
             Limits limits,
             DescriptorBudget descriptors,
             String identityHeader,
             Log log) {
         this.identityHeader = identityHeader;
-        this.handler = driver;
+        this.handler = handler;
         this.clock = clock;
         this.limits = limits;
         this.descriptors = descriptors;
@@ -173,8 +173,8 @@
     }
 
     /** Sets the stall detectors, which are notified of each accepted connection. */
-    public void setStallDetectors(List<EventLoopStallDetector> loops) {
-        stallDetectors = loops;
+    public void setStallDetectors(List<EventLoopStallDetector> detectors) {
+        stallDetectors = detectors;
     }
 
     String identityHeader() {
@@ -300,8 +300,8 @@
     }
 
     /** Sets the guard that is asked before connections are closed. To be called before the first connection is accepted. */
-    public void setGuard(InvariantGuard invariants) {
-        guard = invariants;
+    public void setGuard(InvariantGuard newGuard) {
+        guard = newGuard;
     }
 
     /** Returns whether connections accepted now may have waited in the backlog. */
--- a/src/main/java/ivybank/exchange/Answer.java
+++ b/src/main/java/ivybank/exchange/Answer.java
@@ -26,8 +26,8 @@
     }
 
     /** Returns an answer whose remaining body is still to come. */
-    public static Answer streamed(String contentType, byte[] body, BodyPipe rest, long length) {
-        return new Answer(200, contentType, body, 0, rest, length);
+    public static Answer streamed(String contentType, byte[] body, BodyPipe remainingBody, long contentLength) {
+        return new Answer(200, contentType, body, 0, remainingBody, contentLength);
     }
 
     public static Answer refused(double retryAfterMs) {
--- a/src/main/java/ivybank/exchange/BodyPipe.java
+++ b/src/main/java/ivybank/exchange/BodyPipe.java
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Returns whether a sink is or was attached; the buffered part is lost to any other. */
+    /** Returns whether a sink is or was attached; what it has received is no longer available to another. */
     public boolean isAttached() {
         return attached;
     }
--- a/src/main/java/ivybank/exchange/ClientRequest.java
+++ b/src/main/java/ivybank/exchange/ClientRequest.java
@@ -48,11 +48,11 @@
             byte[] body,
             int requestClass,
             int tenant,
-            boolean repeat,
+            boolean clientRetry,
             double arrivedMs,
             double budgetMs,
             String identity,
-            SendRecord record) {
+            SendRecord sendRecord) {
         this(
                 method,
                 uri,
@@ -61,12 +61,12 @@
                 body,
                 requestClass,
                 tenant,
-                repeat,
+                clientRetry,
                 arrivedMs,
                 arrivedMs,
                 budgetMs,
                 identity,
-                record,
+                sendRecord,
                 null,
                 body.length,
                 ClientLink.NONE);
--- a/src/main/java/ivybank/invariants/InvariantGuard.java
+++ b/src/main/java/ivybank/invariants/InvariantGuard.java
@@ -20,7 +20,7 @@
      * @param nodeBudgetMs the time that the node is given, in milliseconds
      * @param maxClientRemainingMs the most time that the client may have left, in milliseconds
      * @param minClientRemainingMs the least time that the client may have left, in milliseconds
-     * @param repeat the risk that follows from other attempts of the request
+     * @param repeatRisk the risk that follows from other attempts of the request
      */
     public record Transmission(
             boolean nodeReady,
@@ -29,7 +29,7 @@
             double nodeBudgetMs,
             double maxClientRemainingMs,
             double minClientRemainingMs,
-            RepeatRisk repeat) {}
+            RepeatRisk repeatRisk) {}
 
     /** The tolerance by which a node's time may exceed what the client has left. */
     private static final double NODE_BUDGET_SLACK_MS = 150;
@@ -67,7 +67,7 @@
         if (attempt.nodeBudgetMs > Math.max(MIN_NODE_BUDGET_MS, attempt.minClientRemainingMs + NODE_BUDGET_SLACK_MS)) {
             return Verdict.TOO_MUCH_TIME_TOLD;
         }
-        return switch (attempt.repeat) {
+        return switch (attempt.repeatRisk) {
             case HARMLESS -> Verdict.ALLOWED;
             case WINDOW_EXPIRED -> Verdict.WINDOW_OVER;
             case MAY_RUN_TWICE -> Verdict.MAY_RUN_TWICE;
--- a/src/main/java/ivybank/supervision/PeriodicTask.java
+++ b/src/main/java/ivybank/supervision/PeriodicTask.java
@@ -37,14 +37,14 @@
             Clock clock,
             Log log,
             long periodMs,
-            boolean atRate,
+            boolean fixedRate,
             Runnable step) {
         this.name = name;
         this.executor = executor;
         this.clock = clock;
         this.log = log;
         this.periodMs = periodMs;
-        this.fixedRate = atRate;
+        this.fixedRate = fixedRate;
         this.step = step;
     }
 
--- a/src/test/java/ivybank/common/EventLoopStallDetectorTest.java
+++ b/src/test/java/ivybank/common/EventLoopStallDetectorTest.java
@@ -60,7 +60,7 @@
 
     /** Checks are a little late on any machine. */
     @ParameterizedTest
-    @MethodSource("kinds")
+    @MethodSource("detectors")
     void timelyChecksReportNoStall(EventLoopStallDetector stallDetector) {
         double lateMs = 1.8 * stallDetector.periodMs();
         for (double nowMs = 1000 + lateMs; nowMs < 3000; nowMs += lateMs) {
@@ -72,7 +72,7 @@
 
     /** The check itself may be the first task after a stall: what is read after it is as old. */
     @ParameterizedTest
-    @MethodSource("kinds")
+    @MethodSource("detectors")
     void stallLastsUntilAFullPassAfterTheCheckThatDetectsIt(EventLoopStallDetector stallDetector) {
         assertEquals(1000, stallDetector.earliestArrivalMs(STALL_END_MS));
         assertTrue(stallDetector.check(STALL_END_MS));
@@ -90,7 +90,7 @@
      * meanwhile.
      */
     @ParameterizedTest
-    @MethodSource("kinds")
+    @MethodSource("detectors")
     void stallLastsForAFullPassAfterTheLastLateCheck(EventLoopStallDetector stallDetector) {
         assertTrue(stallDetector.check(STALL_END_MS));
         assertFalse(stallDetector.check(STALL_END_MS + 300), "the stall is being followed already");
@@ -106,7 +106,7 @@
      * limit.
      */
     @ParameterizedTest
-    @MethodSource("kinds")
+    @MethodSource("detectors")
     void stallLastsWhileTheBacklogIsAccepted(EventLoopStallDetector stallDetector) {
         stallDetector.check(STALL_END_MS);
         double nowMs = STALL_END_MS;
