--- a/src/main/java/ivybank/daemon/Config.java
+++ b/src/main/java/ivybank/daemon/Config.java
@@ -6,7 +6,7 @@
 import ivybank.discovery.HostUpdate;
 import ivybank.discovery.Timing;
 import ivybank.policy.Balancer.Settings;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -109,7 +109,7 @@
                 words(settings.path("failureDomains")),
                 words(settings.path("kinds")),
                 known.isObject() ? HostUpdate.read(known) : HostUpdate.NOTHING_KNOWN,
-                SettingsText.parse(text.toString()),
+                SettingsParser.parse(text.toString()),
                 limits(root.path("limits")));
     }
 
--- a/src/main/java/ivybank/settings/SettingsText.java
+++ b/src/main/java/ivybank/settings/SettingsParser.java
@@ -18,7 +18,7 @@
  * Reads the path=value lines of the first message. What is missing gets the value that keeps the rules (one attempt,
  * nothing optional allowed, harmful to repeat); a class without its deadline has none, and is refused.
  */
-public final class SettingsText {
+public final class SettingsParser {
 
     private static final double COLD_FROM_UNKNOWN = 0.1;
     private static final double COLD_MS_UNKNOWN = 30_000;
@@ -26,7 +26,7 @@
 
     private final Map<String, String> values = new HashMap<>();
 
-    private SettingsText(String text) {
+    private SettingsParser(String text) {
         text.lines().forEach(line -> {
             int split = line.indexOf('=');
             if (split > 0) {
@@ -38,7 +38,7 @@
     }
 
     public static Settings parse(String text) {
-        return new SettingsText(text).settings();
+        return new SettingsParser(text).settings();
     }
 
     private Settings settings() {
--- a/src/main/java/ivybank/simhost/SimHost.java
+++ b/src/main/java/ivybank/simhost/SimHost.java
@@ -9,7 +9,7 @@
 import ivybank.policy.Balancer.Status;
 import ivybank.policy.Balancer.Upstream;
 import ivybank.policy.LoadShiftingBalancer;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import java.io.EOFException;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -106,7 +106,7 @@
                 long seed = batch.u64();
                 String options = batch.text(batch.count(1));
                 guarded(instance, () -> {
-                    Balancer fresh = factory.create(SettingsText.parse(options), seed, reply.actionsOf(instance));
+                    Balancer fresh = factory.create(SettingsParser.parse(options), seed, reply.actionsOf(instance));
                     balancers.put(instance, fresh);
                     fresh.start(now);
                 });
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -25,7 +25,7 @@
 import ivybank.policy.Balancer.Request;
 import ivybank.policy.Balancer.Status;
 import ivybank.policy.IdleBalancer;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import ivybank.testing.FakeServer;
 import ivybank.upstream.LoadReport;
 import ivybank.upstream.UpstreamPool;
@@ -72,7 +72,7 @@
                     log);
             Directory directory = new Directory(List.of("a"), List.of("k"), pool::closeIdle);
             dispatcher = new RequestDispatcher(
-                    SettingsText.parse(
+                    SettingsParser.parse(
                             "lanes.count=1\nlanes.0.name=submit\nlanes.0.hardLimitMs=6000\nlimits.maxAttempts=6\n"),
                     1,
                     (settings, seed, does) -> {
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/OnRecordTest.java
@@ -9,7 +9,7 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import ivybank.store.Disk;
 import ivybank.store.Limits;
 import ivybank.store.RealDisk;
@@ -187,7 +187,7 @@
         Clock clock = Clock.system();
         keeper = new PromiseKeeper(
                 new PromiseSettings("X-Event", 60_000, 20_000, letThrough),
-                SettingsText.parse("""
+                SettingsParser.parse("""
                 lanes.count=1
                 lanes.0.name=submit
                 lanes.0.aimMs=1000
