--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -24,7 +24,7 @@
 import ivybank.policy.Balancer.Outcome;
 import ivybank.policy.Balancer.Request;
 import ivybank.policy.Balancer.Status;
-import ivybank.policy.IdleBalancer;
+import ivybank.policy.NoOpBalancer;
 import ivybank.settings.SettingsParser;
 import ivybank.testing.FakeServer;
 import ivybank.upstream.LoadReport;
@@ -77,7 +77,7 @@
                     1,
                     (settings, seed, does) -> {
                         actions = does;
-                        return new IdleBalancer() {
+                        return new NoOpBalancer() {
                             @Override
                             public void request(double nowMs, Request request) {
                                 asked.add(request);
--- a/src/test/java/ivybank/policy/IdleBalancer.java
+++ b/src/test/java/ivybank/policy/NoOpBalancer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A balancer that does nothing: for tests of what stands around one. */
-public class IdleBalancer implements Balancer {
+public class NoOpBalancer implements Balancer {
 
     @Override
     public void start(double nowMs) {}
--- a/src/test/java/ivybank/policy/RulesTest.java
+++ b/src/test/java/ivybank/policy/RulesTest.java
@@ -120,7 +120,7 @@
         Sidecar sidecar = new Sidecar(
                 Samples.settings(Samples.requestClass(effect, Group.ZONE, 1)),
                 1,
-                (settings, seed, actions) -> new IdleBalancer());
+                (settings, seed, actions) -> new NoOpBalancer());
         sidecar.ready(3);
         misdeed.commit(sidecar, sidecar.request(0));
         assertTrue(
--- a/src/test/java/ivybank/simhost/SimHostTest.java
+++ b/src/test/java/ivybank/simhost/SimHostTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ivybank.policy.IdleBalancer;
 import ivybank.policy.LoadShiftingBalancer;
+import ivybank.policy.NoOpBalancer;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -148,7 +148,7 @@
 
     @Test
     void actionsAreWrittenByteForByte() throws IOException {
-        SimHost.Factory factory = (settings, seed, actions) -> new IdleBalancer() {
+        SimHost.Factory factory = (settings, seed, actions) -> new NoOpBalancer() {
             @Override
             public void timer(double nowMs, int token) {
                 actions.send(0x5d3a91c4, 0x03124a07, 80);
@@ -270,7 +270,7 @@
 
     @Test
     void anExceptionOfTheModuleBecomesAPanic() throws IOException {
-        SimHost.Factory factory = (settings, seed, actions) -> new IdleBalancer() {
+        SimHost.Factory factory = (settings, seed, actions) -> new NoOpBalancer() {
             @Override
             public void timer(double nowMs, int token) {
                 throw new IllegalStateException("boom");
