--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -186,7 +186,7 @@
                 base.clone().channel(DiscoverySocketChannel.class),
                 config.discovery(),
                 file::changedDiscovery,
-                config.known().resumeFrom(config.settings().askForList()),
+                config.known().resumeFrom(config.settings().subscribesToList()),
                 timing,
                 dispatcher::updated,
                 clock,
@@ -226,7 +226,7 @@
         SiblingProcesses company =
                 environment.containsKey(InheritedListener.VARIABLE) ? AdminStartup.joinIfPossible(environment) : null;
         Config config = Config.load(environment);
-        Timing standard = Timing.standard(config.settings().askForList(), config.drainGraceMs());
+        Timing standard = Timing.standard(config.settings().subscribesToList(), config.drainGraceMs());
         // Without the file nothing of it is loaded.
         OperatorFile more = operator == null ? null : OperatorFile.read(Path.of(operator), standard);
         Timing timing = more == null ? standard : more.discovery();
--- a/src/main/java/ivybank/policy/Balancer.java
+++ b/src/main/java/ivybank/policy/Balancer.java
@@ -237,7 +237,7 @@
             List<RequestClass> classes,
             List<Tenant> tenants,
             int sidecars,
-            boolean askForList,
+            boolean subscribesToList,
             boolean repeatsMarked,
             double tickMs,
             double overShareWorth,
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -103,7 +103,7 @@
     @Override
     public void start(double nowMs) {
         nextShareTickMs = nowMs + TICK_MS;
-        if (settings.askForList()) {
+        if (settings.subscribesToList()) {
             actions.subscribe(true);
         }
     }
