--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -321,7 +321,7 @@
                 .forEach(this::evict);
         evict(connections.size());
         Standby standby = standby();
-        if (standby.compareTo(Standby.CLOSING) >= 0) {
+        if (standby.compareTo(Standby.CLOSING_IDLE) >= 0) {
             closeIdle(standby == Standby.CLOSING_ALL);
         }
     }
@@ -390,7 +390,7 @@
 
     /** Whether each answer ends its connection. */
     boolean draining() {
-        return draining || standby().compareTo(Standby.ENDING) >= 0;
+        return draining || standby().compareTo(Standby.CLOSING_AFTER_ANSWER) >= 0;
     }
 
     /** Sends clients away since this time, Unix time in milliseconds; 0 takes them again. */
--- a/src/main/java/ivybank/operations/Standby.java
+++ b/src/main/java/ivybank/operations/Standby.java
@@ -9,16 +9,16 @@
     /** No order: clients are taken. */
     OFF,
     /** Not ready any more, but serving all that comes. */
-    AWAY,
+    NOT_READY,
     /** Each answer ends its connection. */
-    ENDING,
+    CLOSING_AFTER_ANSWER,
     /** Idle connections are closed: requests that come from here on would be too young at the end. */
-    CLOSING,
+    CLOSING_IDLE,
     /** Also those on which half a request has come. */
     CLOSING_ALL;
 
-    private static final double ENDING_MS = 1200;
-    private static final double CLOSING_MS = 1900;
+    private static final double CLOSING_AFTER_ANSWER_MS = 1200;
+    private static final double CLOSING_IDLE_MS = 1900;
     private static final double CLOSING_ALL_MS = 3200;
 
     /** The phase at a time; {@code sinceMs} 0 is no order. */
@@ -27,6 +27,8 @@
             return OFF;
         }
         double ageMs = nowMs - sinceMs;
-        return ageMs < ENDING_MS ? AWAY : ageMs < CLOSING_MS ? ENDING : ageMs < CLOSING_ALL_MS ? CLOSING : CLOSING_ALL;
+        return ageMs < CLOSING_AFTER_ANSWER_MS
+                ? NOT_READY
+                : ageMs < CLOSING_IDLE_MS ? CLOSING_AFTER_ANSWER : ageMs < CLOSING_ALL_MS ? CLOSING_IDLE : CLOSING_ALL;
     }
 }
