--- a/src/main/java/ivybank/operator/OperatorFile.java
+++ b/src/main/java/ivybank/operator/OperatorFile.java
@@ -57,8 +57,8 @@
                         standard.asked()),
                 store(root),
                 peers(root));
-        discovery.end();
-        root.end();
+        discovery.rejectUnknownKeys();
+        root.rejectUnknownKeys();
         return read;
     }
 
@@ -83,7 +83,7 @@
                 peers.has("listen") ? peers.text("listen", null) : "",
                 peers.texts("addresses"),
                 lives.equals("-") ? null : Path.of(lives));
-        peers.end();
+        peers.rejectUnknownKeys();
         return read;
     }
 
@@ -122,8 +122,8 @@
                         promises.integer("most", 100, 10_000_000, 100_000),
                         promises.choice("when_failing", List.of("refuse", "let-through"), "refuse")
                                 .equals("let-through")));
-        store.end();
-        promises.end();
+        store.rejectUnknownKeys();
+        promises.rejectUnknownKeys();
         return read;
     }
 }
--- a/src/main/java/ivybank/rehearsal/scenario/ScenarioReader.java
+++ b/src/main/java/ivybank/rehearsal/scenario/ScenarioReader.java
@@ -85,7 +85,7 @@
                 new Scenario.Floor(floor.number("service", 0, 1, 0)));
         for (StrictTable table :
                 List.of(fleet, cold, choke, traffic, clients, limits, rules, roster, peers, floor, root)) {
-            table.end();
+            table.rejectUnknownKeys();
         }
         check(root, scenario);
         return scenario;
@@ -150,7 +150,7 @@
                     table.integer("queue_per_core", 0, 1000, 16),
                     table.integer("connections", 1, 10_000, 76),
                     table.number("connect_ms", 0, 1000, 2)));
-            table.end();
+            table.rejectUnknownKeys();
         }
         if (kinds.isEmpty()) {
             throw root.error("kind", "is missing: a scenario needs a [[kind]] of node at least");
@@ -174,7 +174,7 @@
                     Effect.valueOf(word(table.choice("effect", words(Effect.values()), null))),
                     table.choice("group", List.of("all", "site"), "all").equals("site"),
                     table.number("window_ms", 1, 600_000, deadlineMs)));
-            table.end();
+            table.rejectUnknownKeys();
         }
         if (classes.isEmpty()) {
             throw root.error("class", "is missing: a scenario needs a [[class]] of requests at least");
@@ -207,7 +207,7 @@
                     table.integer("like", 0, faults.size(), 0),
                     table.integers("members", 0, 199),
                     ways(kind, table)));
-            table.end();
+            table.rejectUnknownKeys();
         }
         return faults;
     }
--- a/src/main/java/ivybank/scale/plan/ScalePlanReader.java
+++ b/src/main/java/ivybank/scale/plan/ScalePlanReader.java
@@ -72,7 +72,7 @@
 
     private void end(StrictTable table) {
         problems.or(true, () -> {
-            table.end();
+            table.rejectUnknownKeys();
             return true;
         });
     }
--- a/src/main/java/ivybank/toml/StrictTable.java
+++ b/src/main/java/ivybank/toml/StrictTable.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 
 /**
- * A table of a TOML file that is read strictly: each value is asked for with its type and range, and {@link #end} refuses
+ * A table of a TOML file that is read strictly: each value is asked for with its type and range, and {@link #rejectUnknownKeys} refuses
  * what nobody has asked for. Every error names the file, the key and what is allowed.
  */
 public final class StrictTable {
@@ -197,7 +197,7 @@
     }
 
     /** Ends the reading of this table: a key that has not been asked for is an error. */
-    public void end() throws InputException {
+    public void rejectUnknownKeys() throws InputException {
         for (var names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!asked.contains(name)) {
