--- a/src/main/java/ivybank/daemon/KeptPromises.java
+++ b/src/main/java/ivybank/daemon/KeptPromises.java
@@ -4,7 +4,7 @@
 import ivybank.common.Log;
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.policy.Balancer.Settings;
-import ivybank.promises.PromiseKeeper;
+import ivybank.promises.PromiseRequestHandler;
 import ivybank.store.RealDisk;
 import ivybank.store.StoreException;
 import ivybank.store.StoreIdentity;
@@ -22,7 +22,7 @@
         return failure instanceof StoreException;
     }
 
-    static PromiseKeeper open(
+    static PromiseRequestHandler open(
             StoreSettings store, String name, Settings settings, ScheduledExecutorService loop, Clock clock, Log log)
             throws IOException {
         RealDisk disk = RealDisk.take(store.folder());
@@ -39,6 +39,6 @@
             disk.close();
             throw e;
         }
-        return new PromiseKeeper(store.promises(), settings, disk, store.limits(), store.degrade(), loop, clock, log);
+        return new PromiseRequestHandler(store.promises(), settings, disk, store.limits(), store.degrade(), loop, clock, log);
     }
 }
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -33,7 +33,7 @@
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.peers.PeerFleet;
 import ivybank.policy.LoadShiftingBalancer;
-import ivybank.promises.PromiseKeeper;
+import ivybank.promises.PromiseRequestHandler;
 import ivybank.supervision.Chain;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
@@ -110,7 +110,7 @@
     private final Promise<Void> askedEnough;
 
     private boolean follows;
-    private volatile PromiseKeeper promises; // null: none are kept, or not yet
+    private volatile PromiseRequestHandler promises; // null: none are kept, or not yet
     private volatile ClientServer server; // null until it is prepared
     private final CountDownLatch drained = new CountDownLatch(1);
     private final ServerSocketChannel inherited; // null: it listens by itself
@@ -331,9 +331,9 @@
         EventLoopTasks.execute(loop, () -> watchdog.watch(rounds));
     }
 
-    private PromiseKeeper openPromises() throws IOException {
+    private PromiseRequestHandler openPromises() throws IOException {
         try {
-            PromiseKeeper keeper = StartRetry.call(
+            PromiseRequestHandler keeper = StartRetry.call(
                     "opening the store",
                     log,
                     KeptPromises::isLasting,
--- a/src/main/java/ivybank/promises/PromiseKeeper.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -33,7 +33,7 @@
  * That one may run is on the disk before its first byte goes to a node, its answer before the client gets its first byte.
  * All of it runs on the event loop; the store's thread only hands back to it.
  */
-public final class PromiseKeeper implements RequestHandler, AutoCloseable {
+public final class PromiseRequestHandler implements RequestHandler, AutoCloseable {
 
     /** When a promise that is still being written is given up, before the client's time is over. */
     private static final double MARGIN_MS = 10;
@@ -117,7 +117,7 @@
                         List<Runnable> told = List.copyOf(recorded ? onRecord : onFailure);
                         onRecord.clear();
                         onFailure.clear();
-                        told.forEach(PromiseKeeper.this::run);
+                        told.forEach(PromiseRequestHandler.this::run);
                     }));
         }
 
@@ -183,7 +183,7 @@
      *
      * @throws IOException in one line, if the store can't be used as it is
      */
-    public PromiseKeeper(
+    public PromiseRequestHandler(
             PromiseSettings settings,
             Settings module,
             Disk disk,
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/OnRecordTest.java
@@ -173,7 +173,7 @@
     private final HandDriver driver = new HandDriver();
     private final List<String> told = new ArrayList<>();
     private GatedDisk disk;
-    private PromiseKeeper keeper;
+    private PromiseRequestHandler keeper;
 
     @AfterEach
     void close() throws Exception {
@@ -185,7 +185,7 @@
     private void open(boolean letThrough) throws Exception {
         disk = new GatedDisk(RealDisk.take(dir));
         Clock clock = Clock.system();
-        keeper = new PromiseKeeper(
+        keeper = new PromiseRequestHandler(
                 new PromiseSettings("X-Event", 60_000, 20_000, letThrough),
                 SettingsText.parse("""
                 lanes.count=1
