--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -338,7 +338,7 @@
                     log,
                     KeptPromises::isLasting,
                     () -> KeptPromises.open(store, config.name(), config.settings(), loop, clock, log));
-            keeper.driver(dispatcher);
+            keeper.setDispatcher(dispatcher);
             return keeper;
         } catch (IOException e) {
             group.shutdownGracefully();
--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -237,7 +237,7 @@
     private record Found(String identity, State state, double atMs) {}
 
     /** Who takes what may go on. */
-    public void driver(RequestHandler handler) {
+    public void setDispatcher(RequestHandler handler) {
         driver = handler;
     }
 
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/OnRecordTest.java
@@ -203,7 +203,7 @@
                 loop,
                 clock,
                 new Log(new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8), clock));
-        keeper.driver(driver);
+        keeper.setDispatcher(driver);
         disk.permits.drainPermits();
         disk.waiting.clear();
     }
