--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -558,7 +558,7 @@
                     + " descriptors or, when ending, of connections so far");
         }
         if (counts != null && promises != null) {
-            log.line(promises.report());
+            log.line(promises.statusLine());
         }
         if (peers != null) {
             log.line(peers.line());
--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -438,7 +438,7 @@
     }
 
     /** A line of figures. */
-    public String report() {
+    public String statusLine() {
         Promises.Figures figures = promises.figures();
         Store.Figures disk = store.figures();
         return "promises: " + figures.inHand() + " in hand, " + figures.acked() + " acked, " + figures.inDoubt()
