--- a/src/main/java/ivybank/cli/PromisesCommand.java
+++ b/src/main/java/ivybank/cli/PromisesCommand.java
@@ -1,6 +1,6 @@
 package ivybank.cli;
 
-import ivybank.promises.PromiseFolder;
+import ivybank.promises.OfflinePromises;
 import ivybank.promises.Promises.State;
 import ivybank.store.StoreException;
 import ivybank.toml.InputException;
@@ -38,7 +38,7 @@
                     boolean inDoubt)
             throws IOException, InputException {
         try {
-            for (PromiseFolder.Kept kept : PromiseFolder.list(StoreCommand.take(folder), StoreCommand.STANDARD)) {
+            for (OfflinePromises.StoredPromise kept : OfflinePromises.list(StoreCommand.take(folder), StoreCommand.STANDARD)) {
                 if (!inDoubt || kept.state() == State.IN_DOUBT) {
                     System.out.printf(
                             "%-8s  %s  %s  %s%n",
@@ -65,7 +65,7 @@
             @Parameters(paramLabel = "NAME") String name)
             throws IOException, InputException {
         try {
-            if (PromiseFolder.clear(StoreCommand.take(folder), StoreCommand.STANDARD, requestClass, name)) {
+            if (OfflinePromises.clear(StoreCommand.take(folder), StoreCommand.STANDARD, requestClass, name)) {
                 System.out.println(requestClass + " " + name + ": forgotten");
                 return 0;
             }
