--- a/src/main/java/ivybank/cli/PromisesCommand.java
+++ b/src/main/java/ivybank/cli/PromisesCommand.java
@@ -1,7 +1,7 @@
 package ivybank.cli;
 
 import ivybank.promises.OfflinePromises;
-import ivybank.promises.Promises.State;
+import ivybank.promises.PromiseTable.State;
 import ivybank.store.StoreException;
 import ivybank.toml.InputException;
 import java.io.IOException;
--- a/src/main/java/ivybank/promises/Entry.java
+++ b/src/main/java/ivybank/promises/Entry.java
@@ -1,7 +1,7 @@
 package ivybank.promises;
 
 import ivybank.exchange.Answer;
-import ivybank.promises.Promises.State;
+import ivybank.promises.PromiseTable.State;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
--- a/src/main/java/ivybank/promises/OfflinePromises.java
+++ b/src/main/java/ivybank/promises/OfflinePromises.java
@@ -1,6 +1,6 @@
 package ivybank.promises;
 
-import ivybank.promises.Promises.State;
+import ivybank.promises.PromiseTable.State;
 import ivybank.store.Disk;
 import ivybank.store.Limits;
 import ivybank.store.Store;
--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -9,8 +9,8 @@
 import ivybank.policy.Balancer.Effect;
 import ivybank.policy.Balancer.RequestClass;
 import ivybank.policy.Balancer.Settings;
-import ivybank.promises.Promises.Decision;
-import ivybank.promises.Promises.State;
+import ivybank.promises.PromiseTable.Decision;
+import ivybank.promises.PromiseTable.State;
 import ivybank.store.Disk;
 import ivybank.store.Limits;
 import ivybank.store.Store;
@@ -165,7 +165,7 @@
     private final Log log;
     private final double retryAfterMs;
     private final int longestEntry;
-    private final Promises promises;
+    private final PromiseTable promises;
     private final Store store;
     private final Map<String, Promise> inHand = new HashMap<>();
     private final Map<Integer, Promise> byNumber = new HashMap<>();
@@ -200,7 +200,7 @@
         this.log = log;
         this.retryAfterMs = module.limits().maxRetryAfterMs();
         this.longestEntry = limits.value();
-        this.promises = new Promises(settings.keepMs(), settings.most(), this::forget);
+        this.promises = new PromiseTable(settings.keepMs(), settings.most(), this::forget);
         List<Found> found = new ArrayList<>();
         this.store = Store.open(
                 disk,
@@ -439,7 +439,7 @@
 
     /** A line of figures. */
     public String statusLine() {
-        Promises.Figures figures = promises.figures();
+        PromiseTable.Figures figures = promises.figures();
         Store.Figures disk = store.figures();
         return "promises: " + figures.inHand() + " in hand, " + figures.acked() + " acked, " + figures.inDoubt()
                 + " in doubt; "
--- a/src/main/java/ivybank/promises/Promises.java
+++ b/src/main/java/ivybank/promises/PromiseTable.java
@@ -9,7 +9,7 @@
  * What this sidecar knows of each request that must not run twice, by its identity. Pure: it is told what happens, with the
  * time in ms, on one thread, and says what is to be done; whoever calls does it. It holds so many identities and no more.
  */
-public final class Promises {
+public final class PromiseTable {
 
     /** What an identity stands for. */
     public enum State {
@@ -74,7 +74,7 @@
      * @param keepMs how long an identity is remembered after its request has ended
      * @param most identities, those in hand included
      */
-    public Promises(double keepMs, int most, Forgotten forgotten) {
+    public PromiseTable(double keepMs, int most, Forgotten forgotten) {
         this.keepMs = keepMs;
         this.most = most;
         this.forgotten = forgotten;
--- a/src/test/java/ivybank/LayoutTest.java
+++ b/src/test/java/ivybank/LayoutTest.java
@@ -265,7 +265,7 @@
                 .check(PROGRAM);
         noClasses()
                 .that()
-                .haveFullyQualifiedName("ivybank.promises.Promises")
+                .haveFullyQualifiedName("ivybank.promises.PromiseTable")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
--- a/src/test/java/ivybank/promises/PromisesTest.java
+++ b/src/test/java/ivybank/promises/PromiseTableTest.java
@@ -4,16 +4,16 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ivybank.promises.Promises.Decision;
-import ivybank.promises.Promises.State;
+import ivybank.promises.PromiseTable.Decision;
+import ivybank.promises.PromiseTable.State;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class PromisesTest {
+class PromiseTableTest {
 
     private final List<String> forgotten = new ArrayList<>();
-    private final Promises promises = new Promises(1000, 4, (identity, was) -> forgotten.add(identity + " " + was));
+    private final PromiseTable promises = new PromiseTable(1000, 4, (identity, was) -> forgotten.add(identity + " " + was));
 
     @Test
     void whatMayHaveRunIsNeverTakenAgainAndWhatHasNotIs() {
@@ -31,7 +31,7 @@
         promises.sent("b");
         promises.acked("b", 8);
         assertEquals(Decision.STORED, promises.ask("b", 9));
-        assertEquals(new Promises.Figures(0, 1, 1, 1, 1, 1, 0, 0, 0), promises.figures());
+        assertEquals(new PromiseTable.Figures(0, 1, 1, 1, 1, 1, 0, 0, 0), promises.figures());
     }
 
     @Test
