--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -5,7 +5,7 @@
 import ivybank.store.Disk;
 import ivybank.store.Limits;
 import ivybank.store.Maintenance;
-import ivybank.store.RealDisk;
+import ivybank.store.FileSystemDisk;
 import ivybank.store.RecoveryReport;
 import ivybank.store.StoreException;
 import ivybank.store.StoreIdentity;
@@ -42,7 +42,7 @@
         if (!Files.isDirectory(folder)) {
             throw new InputException(folder + ": is no folder");
         }
-        return RealDisk.take(folder);
+        return FileSystemDisk.lock(folder);
     }
 
     @Command(
@@ -56,7 +56,7 @@
             throws IOException {
         try {
             StoreIdentity made = Maintenance.make(
-                    RealDisk.take(folder),
+                    FileSystemDisk.lock(folder),
                     STANDARD,
                     name,
                     () -> UUID.randomUUID().toString());
--- a/src/main/java/ivybank/daemon/KeptPromises.java
+++ b/src/main/java/ivybank/daemon/KeptPromises.java
@@ -5,7 +5,7 @@
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.policy.Balancer.Settings;
 import ivybank.promises.PromiseRequestHandler;
-import ivybank.store.RealDisk;
+import ivybank.store.FileSystemDisk;
 import ivybank.store.StoreException;
 import ivybank.store.StoreIdentity;
 import java.io.IOException;
@@ -25,7 +25,7 @@
     static PromiseRequestHandler open(
             StoreSettings store, String name, Settings settings, ScheduledExecutorService loop, Clock clock, Log log)
             throws IOException {
-        RealDisk disk = RealDisk.take(store.folder());
+        FileSystemDisk disk = FileSystemDisk.lock(store.folder());
         try {
             StoreIdentity identity = StoreIdentity.take(
                     disk,
--- a/src/main/java/ivybank/store/RealDisk.java
+++ b/src/main/java/ivybank/store/FileSystemDisk.java
@@ -13,14 +13,14 @@
 import java.util.stream.Stream;
 
 /** A folder of this machine, held by one process at a time. */
-public final class RealDisk implements Disk {
+public final class FileSystemDisk implements Disk {
 
     private static final String LOCK = "lock";
 
     private final Path folder;
     private final FileChannel lockFile;
 
-    private RealDisk(Path folder, FileChannel lockFile) {
+    private FileSystemDisk(Path folder, FileChannel lockFile) {
         this.folder = folder;
         this.lockFile = lockFile;
     }
@@ -30,7 +30,7 @@
      *
      * @throws StoreException if another process holds it
      */
-    public static RealDisk take(Path folder) throws IOException {
+    public static FileSystemDisk lock(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel file = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
@@ -42,7 +42,7 @@
             file.close();
             throw new StoreException(folder + " is held by another process, which must end first");
         }
-        return new RealDisk(folder, file);
+        return new FileSystemDisk(folder, file);
     }
 
     @Override
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/OnRecordTest.java
@@ -12,7 +12,7 @@
 import ivybank.settings.SettingsText;
 import ivybank.store.Disk;
 import ivybank.store.Limits;
-import ivybank.store.RealDisk;
+import ivybank.store.FileSystemDisk;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -183,7 +183,7 @@
     }
 
     private void open(boolean letThrough) throws Exception {
-        disk = new GatedDisk(RealDisk.take(dir));
+        disk = new GatedDisk(FileSystemDisk.lock(dir));
         Clock clock = Clock.system();
         keeper = new PromiseRequestHandler(
                 new PromiseSettings("X-Event", 60_000, 20_000, letThrough),
--- a/src/test/java/ivybank/store/StoreBenchmark.java
+++ b/src/test/java/ivybank/store/StoreBenchmark.java
@@ -84,7 +84,7 @@
     }
 
     private Store open(Path folder) throws IOException {
-        return Store.open(RealDisk.take(folder), LIMITS, false, (key, value) -> {}, Thread::new);
+        return Store.open(FileSystemDisk.lock(folder), LIMITS, false, (key, value) -> {}, Thread::new);
     }
 
     /** {@code keys}: how many different ones; few of them leave much to compact. */
@@ -224,7 +224,7 @@
         }
         long before = used();
         long from = System.nanoTime();
-        Recovery.Recovered recovered = Recovery.run(RealDisk.take(folder), LIMITS, false);
+        Recovery.Recovered recovered = Recovery.run(FileSystemDisk.lock(folder), LIMITS, false);
         double tookMs = (System.nanoTime() - from) / 1e6;
         long memory = used() - before;
         table.append(String.format(
@@ -235,7 +235,7 @@
         recovered.log().abandon();
         deleteCheckpoints(folder);
         from = System.nanoTime();
-        recovered = Recovery.run(RealDisk.take(folder), LIMITS, false);
+        recovered = Recovery.run(FileSystemDisk.lock(folder), LIMITS, false);
         table.append(String.format(
                 Locale.ROOT,
                 "; without them in %.0f ms (%d keys)%n",
