--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -98,10 +98,10 @@
 
     private static String whose(Path folder) throws IOException, InputException {
         try (Disk disk = take(folder)) {
-            StoreIdentity identity = StoreIdentity.of(disk);
+            StoreIdentity identity = StoreIdentity.readIfPresent(disk);
             return identity == null
                     ? "it has no name, as those of earlier versions"
-                    : "of " + identity.owner() + ", id " + identity.id() + ", taken up " + identity.life() + " times";
+                    : "of " + identity.owner() + ", id " + identity.id() + ", taken up " + identity.incarnation() + " times";
         } catch (StoreException e) {
             return e.getMessage();
         }
--- a/src/main/java/ivybank/daemon/KeptPromises.java
+++ b/src/main/java/ivybank/daemon/KeptPromises.java
@@ -27,13 +27,13 @@
             throws IOException {
         FileSystemDisk disk = FileSystemDisk.lock(store.folder());
         try {
-            StoreIdentity identity = StoreIdentity.take(
+            StoreIdentity identity = StoreIdentity.acquire(
                     disk,
                     name,
                     store.firstStart(),
                     () -> UUID.randomUUID().toString(),
                     line -> log.line("store " + store.folder() + ": " + line));
-            log.line("store " + store.folder() + ": id " + identity.id() + ", taken up for the " + identity.life()
+            log.line("store " + store.folder() + ": id " + identity.id() + ", taken up for the " + identity.incarnation()
                     + ". time");
         } catch (IOException | RuntimeException e) {
             disk.close();
--- a/src/main/java/ivybank/store/Maintenance.java
+++ b/src/main/java/ivybank/store/Maintenance.java
@@ -26,7 +26,7 @@
                 throw new StoreException(
                         "the folder is not empty: it has " + disk.names().get(0) + ", and nothing is changed");
             }
-            StoreIdentity made = StoreIdentity.take(disk, owner, true, ids, line -> {});
+            StoreIdentity made = StoreIdentity.acquire(disk, owner, true, ids, line -> {});
             Recovery.run(disk, limits, false).log().close(); // and the disk with it
             return made;
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/ivybank/store/StoreIdentity.java
+++ b/src/main/java/ivybank/store/StoreIdentity.java
@@ -14,9 +14,9 @@
  *
  * @param owner the name of the sidecar
  * @param id drawn when the store was made
- * @param life rises each time that it is taken up, from 1
+ * @param incarnation rises each time that it is taken up, from 1
  */
-public record StoreIdentity(String owner, String id, long life) {
+public record StoreIdentity(String owner, String id, long incarnation) {
 
     static final String NAME = "identity";
     private static final String NEW = "identity.new";
@@ -34,7 +34,7 @@
      * @param said takes one line where something is worth one
      * @throws StoreException in one line, if the folder has none, another's, or only part of one; nothing is changed then
      */
-    public static StoreIdentity take(
+    public static StoreIdentity acquire(
             Disk disk, String owner, boolean mayMake, Supplier<String> ids, Consumer<String> said) throws IOException {
         List<String> names = disk.names();
         boolean manifest = names.contains(Manifest.NAME);
@@ -45,8 +45,8 @@
             throw new StoreException("it is the store of " + before.owner + " (id " + before.id + "), and this is "
                     + owner + ": nothing is changed; are two folders swapped?");
         }
-        if (before != null && !manifest && before.life > 1) {
-            throw new StoreException("the store that was here (id " + before.id + ", taken up " + before.life
+        if (before != null && !manifest && before.incarnation > 1) {
+            throw new StoreException("the store that was here (id " + before.id + ", taken up " + before.incarnation
                     + " times) is lost but for its name" + (records ? " and records that no manifest names" : "")
                     + ": nothing is changed; put back a copy of the folder, or move it away and make another"
                     + " one by `store init`, and what it held is not known");
@@ -63,7 +63,7 @@
         }
         StoreIdentity now = before == null
                 ? new StoreIdentity(owner, ids.get(), 1)
-                : new StoreIdentity(owner, before.id, before.life + 1);
+                : new StoreIdentity(owner, before.id, before.incarnation + 1);
         if (before == null) {
             said.accept(
                     manifest || records
@@ -76,7 +76,7 @@
     }
 
     /** The identity of a folder; null if it has none. */
-    public static StoreIdentity of(Disk disk) throws IOException {
+    public static StoreIdentity readIfPresent(Disk disk) throws IOException {
         return disk.names().contains(NAME) ? read(disk) : null;
     }
 
@@ -102,7 +102,7 @@
     }
 
     private String text() {
-        String text = FIRST_LINE + "\n" + OWNER + owner + "\n" + ID + id + "\n" + LIFE + life + "\n";
+        String text = FIRST_LINE + "\n" + OWNER + owner + "\n" + ID + id + "\n" + LIFE + incarnation + "\n";
         return text + "crc " + Long.toHexString(checksum(text)) + "\n";
     }
 
--- a/src/test/java/ivybank/store/StoreIdentityTest.java
+++ b/src/test/java/ivybank/store/StoreIdentityTest.java
@@ -20,12 +20,12 @@
     private final List<String> said = new ArrayList<>();
 
     private StoreIdentity take(Disk disk, String owner, boolean mayMake) throws IOException {
-        return StoreIdentity.take(disk, owner, mayMake, () -> "id-" + said.size(), said::add);
+        return StoreIdentity.acquire(disk, owner, mayMake, () -> "id-" + said.size(), said::add);
     }
 
     private static PowerCutDisk made(String owner) throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
-        StoreIdentity.take(disk, owner, true, () -> "first", line -> {});
+        StoreIdentity.acquire(disk, owner, true, () -> "first", line -> {});
         Recovery.run(disk, LIMITS, false);
         return disk;
     }
@@ -49,7 +49,7 @@
         assertEquals(new StoreIdentity("n0", "id-0", 2), take(disk, "n0", false));
         assertEquals(new StoreIdentity("n0", "id-0", 3), take(disk, "n0", true));
         assertEquals(1, said.size());
-        assertEquals(3, StoreIdentity.of(disk).life());
+        assertEquals(3, StoreIdentity.readIfPresent(disk).incarnation());
     }
 
     @Test
@@ -74,10 +74,10 @@
     void oneOfAnEarlierVersionGetsANameAndThatIsSaid() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         Recovery.run(disk, LIMITS, false);
-        assertNull(StoreIdentity.of(disk));
-        assertEquals(1, take(disk, "n0", false).life());
+        assertNull(StoreIdentity.readIfPresent(disk));
+        assertEquals(1, take(disk, "n0", false).incarnation());
         assertTrue(said.get(0).startsWith("it had no name"), said.toString());
-        assertEquals(2, take(disk, "n0", false).life());
+        assertEquals(2, take(disk, "n0", false).incarnation());
     }
 
     @Test
@@ -119,16 +119,16 @@
                     try {
                         life = Math.max(
                                 life,
-                                StoreIdentity.take(disk, "n0", true, () -> "one", line -> {})
-                                        .life());
+                                StoreIdentity.acquire(disk, "n0", true, () -> "one", line -> {})
+                                        .incarnation());
                         Recovery.run(disk, LIMITS, false);
                     } catch (PowerCutDisk.PowerCut e) {
                         // It comes back as below.
                     }
                     disk = disk.cut(new SplittableRandom(seed * 1000L + start));
-                    StoreIdentity kept = StoreIdentity.of(disk);
+                    StoreIdentity kept = StoreIdentity.readIfPresent(disk);
                     assertTrue(
-                            life == 0 || kept != null && kept.life() >= life,
+                            life == 0 || kept != null && kept.incarnation() >= life,
                             "seed " + seed + ", step " + step + ": " + life + ", then " + kept);
                 }
             }
