--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -4,7 +4,7 @@
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.store.Disk;
 import ivybank.store.Limits;
-import ivybank.store.Maintenance;
+import ivybank.store.StoreMaintenance;
 import ivybank.store.FileSystemDisk;
 import ivybank.store.RecoveryReport;
 import ivybank.store.StoreException;
@@ -55,7 +55,7 @@
                     String name)
             throws IOException {
         try {
-            StoreIdentity made = Maintenance.make(
+            StoreIdentity made = StoreMaintenance.create(
                     FileSystemDisk.lock(folder),
                     STANDARD,
                     name,
@@ -109,7 +109,7 @@
 
     private static RecoveryReport read(Path folder) throws IOException, InputException {
         try {
-            return Maintenance.verify(take(folder));
+            return StoreMaintenance.verify(take(folder));
         } catch (StoreException e) {
             System.err.println("ivybank: " + folder + ": " + e.getMessage());
             return null;
@@ -125,7 +125,7 @@
         StoreSettings settings =
                 operator == null ? null : OperatorFile.read(operator).store();
         try {
-            long[] bytes = Maintenance.compact(take(folder), settings == null ? STANDARD : settings.limits());
+            long[] bytes = StoreMaintenance.compact(take(folder), settings == null ? STANDARD : settings.limits());
             System.out.println(folder + ": " + bytes[0] + " bytes before, " + bytes[1] + " now");
             return 0;
         } catch (StoreException e) {
--- a/src/main/java/ivybank/store/Maintenance.java
+++ b/src/main/java/ivybank/store/StoreMaintenance.java
@@ -4,9 +4,9 @@
 import java.util.function.Supplier;
 
 /** What can be done with the folder of a store while no daemon holds it. */
-public final class Maintenance {
+public final class StoreMaintenance {
 
-    private Maintenance() {}
+    private StoreMaintenance() {}
 
     /** Reads every record and tells what a start would find; changes nothing. */
     public static RecoveryReport verify(Disk disk) throws IOException {
@@ -20,7 +20,7 @@
      *
      * @throws StoreException if the folder has one, or what is left of one
      */
-    public static StoreIdentity make(Disk disk, Limits limits, String owner, Supplier<String> ids) throws IOException {
+    public static StoreIdentity create(Disk disk, Limits limits, String owner, Supplier<String> ids) throws IOException {
         try {
             if (!disk.names().isEmpty()) {
                 throw new StoreException(
