--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -74,7 +74,7 @@
         if (report == null) {
             return Ivybank.FAILED;
         }
-        System.out.println(folder + ": " + report.line());
+        System.out.println(folder + ": " + report.summary());
         System.out.println(whose(folder));
         try (var files = Files.list(folder)) {
             for (Path file : files.sorted().toList()) {
@@ -91,7 +91,7 @@
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException, InputException {
         RecoveryReport report = read(folder);
         if (report != null) {
-            System.out.println(folder + ": " + (report.damage().isEmpty() ? "good; " : "") + report.line());
+            System.out.println(folder + ": " + (report.damage().isEmpty() ? "good; " : "") + report.summary());
         }
         return report != null && report.damage().isEmpty() ? 0 : Ivybank.FAILED;
     }
--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -220,7 +220,7 @@
         // The wall clock may have been stepped since they were written: what is owed is owed for a whole time more.
         found.forEach(each -> promises.recovered(each.identity, each.state, nowMs, nowMs));
         promises.trim(nowMs);
-        log.line("store: " + store.report().line());
+        log.line("store: " + store.report().summary());
         log.line("promises: " + promises.figures().acked() + " acked and "
                 + promises.figures().inDoubt() + " in doubt from before");
     }
--- a/src/main/java/ivybank/store/RecoveryReport.java
+++ b/src/main/java/ivybank/store/RecoveryReport.java
@@ -19,7 +19,7 @@
     }
 
     /** In one line. */
-    public String line() {
+    public String summary() {
         return segments + " segments, " + keys + " keys of " + records + " records, " + checkpoints
                 + " segments by their"
                 + " checkpoints; " + cutBytes + " bytes of an unconfirmed last write cut off"
