--- a/src/main/java/ivybank/cli/PromisesCommand.java
+++ b/src/main/java/ivybank/cli/PromisesCommand.java
@@ -38,7 +38,8 @@
                     boolean inDoubt)
             throws IOException, InputException {
         try {
-            for (OfflinePromises.StoredPromise kept : OfflinePromises.list(StoreCommand.take(folder), StoreCommand.STANDARD)) {
+            for (OfflinePromises.StoredPromise kept :
+                    OfflinePromises.list(StoreCommand.take(folder), StoreCommand.STANDARD)) {
                 if (!inDoubt || kept.state() == State.IN_DOUBT) {
                     System.out.printf(
                             "%-8s  %s  %s  %s%n",
--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -3,12 +3,12 @@
 import ivybank.operator.OperatorFile;
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.store.Disk;
-import ivybank.store.Limits;
-import ivybank.store.StoreMaintenance;
 import ivybank.store.FileSystemDisk;
+import ivybank.store.Limits;
 import ivybank.store.RecoveryReport;
 import ivybank.store.StoreException;
 import ivybank.store.StoreIdentity;
+import ivybank.store.StoreMaintenance;
 import ivybank.toml.InputException;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -101,7 +101,8 @@
             StoreIdentity identity = StoreIdentity.readIfPresent(disk);
             return identity == null
                     ? "it has no name, as those of earlier versions"
-                    : "of " + identity.owner() + ", id " + identity.id() + ", taken up " + identity.incarnation() + " times";
+                    : "of " + identity.owner() + ", id " + identity.id() + ", taken up " + identity.incarnation()
+                            + " times";
         } catch (StoreException e) {
             return e.getMessage();
         }
--- a/src/main/java/ivybank/daemon/KeptPromises.java
+++ b/src/main/java/ivybank/daemon/KeptPromises.java
@@ -33,12 +33,13 @@
                     store.firstStart(),
                     () -> UUID.randomUUID().toString(),
                     line -> log.line("store " + store.folder() + ": " + line));
-            log.line("store " + store.folder() + ": id " + identity.id() + ", taken up for the " + identity.incarnation()
-                    + ". time");
+            log.line("store " + store.folder() + ": id " + identity.id() + ", taken up for the "
+                    + identity.incarnation() + ". time");
         } catch (IOException | RuntimeException e) {
             disk.close();
             throw e;
         }
-        return new PromiseRequestHandler(store.promises(), settings, disk, store.limits(), store.degrade(), loop, clock, log);
+        return new PromiseRequestHandler(
+                store.promises(), settings, disk, store.limits(), store.degrade(), loop, clock, log);
     }
 }
--- a/src/main/java/ivybank/store/StoreMaintenance.java
+++ b/src/main/java/ivybank/store/StoreMaintenance.java
@@ -20,7 +20,8 @@
      *
      * @throws StoreException if the folder has one, or what is left of one
      */
-    public static StoreIdentity create(Disk disk, Limits limits, String owner, Supplier<String> ids) throws IOException {
+    public static StoreIdentity create(Disk disk, Limits limits, String owner, Supplier<String> ids)
+            throws IOException {
         try {
             if (!disk.names().isEmpty()) {
                 throw new StoreException(
--- a/src/test/java/ivybank/promises/PromiseTableTest.java
+++ b/src/test/java/ivybank/promises/PromiseTableTest.java
@@ -13,7 +13,8 @@
 class PromiseTableTest {
 
     private final List<String> forgotten = new ArrayList<>();
-    private final PromiseTable promises = new PromiseTable(1000, 4, (identity, was) -> forgotten.add(identity + " " + was));
+    private final PromiseTable promises =
+            new PromiseTable(1000, 4, (identity, was) -> forgotten.add(identity + " " + was));
 
     @Test
     void whatMayHaveRunIsNeverTakenAgainAndWhatHasNotIs() {
