--- a/src/main/java/ivybank/promises/PromiseKeeper.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -9,8 +9,8 @@
 import ivybank.policy.Balancer.Effect;
 import ivybank.policy.Balancer.RequestClass;
 import ivybank.policy.Balancer.Settings;
-import ivybank.promises.Promises.Decision;
-import ivybank.promises.Promises.State;
+import ivybank.promises.PromiseTable.Decision;
+import ivybank.promises.PromiseTable.State;
 import ivybank.store.Disk;
 import ivybank.store.Limits;
 import ivybank.store.Store;
@@ -33,7 +33,7 @@
  * That one may run is on the disk before its first byte goes to a node, its answer before the client gets its first byte.
  * All of it runs on the event loop; the store's thread only hands back to it.
  */
-public final class PromiseKeeper implements RequestHandler, AutoCloseable {
+public final class PromiseRequestHandler implements RequestHandler, AutoCloseable {
 
     /** When a promise that is still being written is given up, before the client's time is over. */
     private static final double MARGIN_MS = 10;
@@ -117,7 +117,7 @@
                         List<Runnable> told = List.copyOf(recorded ? onRecord : onFailure);
                         onRecord.clear();
                         onFailure.clear();
-                        told.forEach(PromiseKeeper.this::run);
+                        told.forEach(PromiseRequestHandler.this::run);
                     }));
         }
 
@@ -165,7 +165,7 @@
     private final Log log;
     private final double retryAfterMs;
     private final int longestEntry;
-    private final Promises promises;
+    private final PromiseTable promises;
     private final Store store;
     private final Map<String, Promise> inHand = new HashMap<>();
     private final Map<Integer, Promise> byNumber = new HashMap<>();
@@ -183,7 +183,7 @@
      *
      * @throws IOException in one line, if the store can't be used as it is
      */
-    public PromiseKeeper(
+    public PromiseRequestHandler(
             PromiseSettings settings,
             Settings module,
             Disk disk,
@@ -200,7 +200,7 @@
         this.log = log;
         this.retryAfterMs = module.limits().maxRetryAfterMs();
         this.longestEntry = limits.value();
-        this.promises = new Promises(settings.keepMs(), settings.most(), this::forget);
+        this.promises = new PromiseTable(settings.keepMs(), settings.most(), this::forget);
         List<Found> found = new ArrayList<>();
         this.store = Store.open(
                 disk,
@@ -220,7 +220,7 @@
         // The wall clock may have been stepped since they were written: what is owed is owed for a whole time more.
         found.forEach(each -> promises.recovered(each.identity, each.state, nowMs, nowMs));
         promises.trim(nowMs);
-        log.line("store: " + store.report().line());
+        log.line("store: " + store.report().summary());
         log.line("promises: " + promises.figures().acked() + " acked and "
                 + promises.figures().inDoubt() + " in doubt from before");
     }
@@ -237,7 +237,7 @@
     private record Found(String identity, State state, double atMs) {}
 
     /** Who takes what may go on. */
-    public void driver(RequestHandler handler) {
+    public void setDispatcher(RequestHandler handler) {
         driver = handler;
     }
 
@@ -438,8 +438,8 @@
     }
 
     /** A line of figures. */
-    public String report() {
-        Promises.Figures figures = promises.figures();
+    public String statusLine() {
+        PromiseTable.Figures figures = promises.figures();
         Store.Figures disk = store.figures();
         return "promises: " + figures.inHand() + " in hand, " + figures.acked() + " acked, " + figures.inDoubt()
                 + " in doubt; "
--- a/src/main/java/ivybank/store/Maintenance.java
+++ b/src/main/java/ivybank/store/StoreMaintenance.java
@@ -4,9 +4,9 @@
 import java.util.function.Supplier;
 
 /** What can be done with the folder of a store while no daemon holds it. */
-public final class Maintenance {
+public final class StoreMaintenance {
 
-    private Maintenance() {}
+    private StoreMaintenance() {}
 
     /** Reads every record and tells what a start would find; changes nothing. */
     public static RecoveryReport verify(Disk disk) throws IOException {
@@ -20,13 +20,14 @@
      *
      * @throws StoreException if the folder has one, or what is left of one
      */
-    public static StoreIdentity make(Disk disk, Limits limits, String owner, Supplier<String> ids) throws IOException {
+    public static StoreIdentity create(Disk disk, Limits limits, String owner, Supplier<String> ids)
+            throws IOException {
         try {
             if (!disk.names().isEmpty()) {
                 throw new StoreException(
                         "the folder is not empty: it has " + disk.names().get(0) + ", and nothing is changed");
             }
-            StoreIdentity made = StoreIdentity.take(disk, owner, true, ids, line -> {});
+            StoreIdentity made = StoreIdentity.acquire(disk, owner, true, ids, line -> {});
             Recovery.run(disk, limits, false).log().close(); // and the disk with it
             return made;
         } catch (IOException | RuntimeException e) {
