--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -162,7 +162,7 @@
             }
         });
         double part = inHand == 0 ? 1 : (unanswered + 1.0) / (unanswered + 1.0 + inHand);
-        events.tell(() -> balancer.elsewhere(numbered, part));
+        events.tell(() -> balancer.setSiblingLoad(numbered, part));
     }
 
     /** Takes over which nodes operators have taken out, by their ids, with when they did. */
--- a/src/main/java/ivybank/handover/Heir.java
+++ b/src/main/java/ivybank/handover/HandoverParticipant.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Decisions that can be handed over between the processes of one sidecar. Nodes are named by the module's numbers. */
-public interface Heir {
+public interface HandoverParticipant {
 
     /** What was learned so far, for the process that comes after this one. */
     default Learned<Integer> learned() {
@@ -18,5 +18,5 @@
     default void recall(Learned<Integer> other, double trust) {}
 
     /** Tells what another process has out by node, and this one's part of the requests that both have in hand. */
-    default void elsewhere(Map<Integer, Integer> out, double part) {}
+    default void setSiblingLoad(Map<Integer, Integer> out, double part) {}
 }
--- a/src/main/java/ivybank/policy/Balancer.java
+++ b/src/main/java/ivybank/policy/Balancer.java
@@ -1,6 +1,6 @@
 package ivybank.policy;
 
-import ivybank.handover.Heir;
+import ivybank.handover.HandoverParticipant;
 import java.util.List;
 import java.util.Objects;
 
@@ -12,7 +12,7 @@
  * <p>Identifiers of requests and upstreams are opaque. The attempts of a request are numbered 0, 1, 2 and so on, in
  * the order in which they were sent.
  */
-public interface Balancer extends Heir {
+public interface Balancer extends HandoverParticipant {
 
     /** The sidecar begins. Called once, before anything else. */
     void start(double nowMs);
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -367,7 +367,7 @@
     }
 
     @Override
-    public void elsewhere(Map<Integer, Integer> out, double part) {
+    public void setSiblingLoad(Map<Integer, Integer> out, double part) {
         list.hosts.forEach(host -> host.concurrency.elsewhere(out.getOrDefault(host.id, 0)));
         coldNodeRates.own(part);
     }
--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -119,12 +119,12 @@
         }
         Map<Integer, Integer> all = new java.util.HashMap<>();
         old.balancer.learned().nodes().forEach((id, node) -> all.put(id, (int) Math.ceil(node.window())));
-        next.balancer.elsewhere(all, 0.1);
+        next.balancer.setSiblingLoad(all, 0.1);
         for (int i = 0; i < windows; i++) {
             next.request(0);
         }
         assertTrue(next.sent.isEmpty(), "sent " + next.sent.size() + " beyond the room that the other one fills");
-        next.balancer.elsewhere(Map.of(), 1);
+        next.balancer.setSiblingLoad(Map.of(), 1);
         next.pass(500);
         for (int i = 0; i < windows; i++) {
             next.request(0);
