--- a/src/main/java/ivybank/concurrency/LatencyTracker.java
+++ b/src/main/java/ivybank/concurrency/LatencyTracker.java
@@ -1,6 +1,6 @@
 package ivybank.concurrency;
 
-import ivybank.handover.Learned;
+import ivybank.handover.LearnedState;
 import ivybank.handover.Trust;
 
 /** The running median of the latencies of like requests, and what it was when the nodes were quiet; in milliseconds. */
@@ -48,12 +48,12 @@
         return value < floor ? (floor + value) / 2 : floor * (1 + forget);
     }
 
-    public Learned.OfClass learned() {
-        return new Learned.OfClass(typicalMs, quietMs, answers);
+    public LearnedState.ClassState learned() {
+        return new LearnedState.ClassState(typicalMs, quietMs, answers);
     }
 
     /** Takes over what another process has learned, as far as it is believed. */
-    public void recall(Learned.OfClass other, double trust) {
+    public void recall(LearnedState.ClassState other, double trust) {
         typicalMs = Trust.blend(typicalMs, other.typicalMs(), trust);
         quietMs = other.quietMs() * trust >= typicalMs / 2 ? other.quietMs() : 0; // half believed it would only mislead
         answers = (int) (other.answers() * trust);
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -124,7 +124,7 @@
             if (memory.isFresh(nowMs)) {
                 inHand += memory.inHand();
                 held += memory.descriptors();
-                memory.learned().nodes().forEach((host, node) -> out.merge(host, node.out(), Integer::sum));
+                memory.learned().nodes().forEach((host, node) -> out.merge(host, node.inFlight(), Integer::sum));
             }
         }
         int requests = inHand;
--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -2,7 +2,7 @@
 
 import ivybank.common.Clock;
 import ivybank.discovery.Directory;
-import ivybank.handover.Learned;
+import ivybank.handover.LearnedState;
 import ivybank.policy.Balancer;
 import ivybank.policy.Balancer.ListKind;
 import ivybank.policy.Balancer.Upstream;
@@ -20,7 +20,7 @@
     private final Clock clock;
     private final Set<Integer> recalled = new HashSet<>();
     /** Until discovery has told its whole list; null for none. */
-    private Learned<String> learned;
+    private LearnedState<String> learned;
 
     private double trust;
 
@@ -32,7 +32,7 @@
     }
 
     /** Takes over what another process has learned; {@code trust}: how far it is believed, from 0 to 1. */
-    void take(Learned<String> other, double trust) {
+    void take(LearnedState<String> other, double trust) {
         recalled.clear();
         learned = other;
         this.trust = trust;
@@ -54,8 +54,8 @@
         if (!changed.isEmpty()) {
             events.tell(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
         }
-        Learned<String> rest = recalled.isEmpty() ? learned : learned.ofNodes();
-        Learned<Integer> here = rest.withStarts(directory::startHereMs).named(host -> {
+        LearnedState<String> rest = recalled.isEmpty() ? learned : learned.nodesOnly();
+        LearnedState<Integer> here = rest.withStarts(directory::startHereMs).withKeys(host -> {
             Integer number = directory.number(host);
             return number != null && recalled.add(number) ? number : null;
         });
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -11,7 +11,7 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.handover.Learned;
+import ivybank.handover.LearnedState;
 import ivybank.handover.Memory;
 import ivybank.invariants.InvariantGuard;
 import ivybank.policy.Balancer;
@@ -138,13 +138,13 @@
      * Takes over what another process of this sidecar has learned, as far as it is believed: of the nodes that are listed
      * now, and of those that discovery names with its first whole list.
      */
-    void recall(Learned<String> learned, double trust) {
+    void recall(LearnedState<String> learned, double trust) {
         inheritance.take(learned, trust);
     }
 
     /** What this process leaves for others of its sidecar. */
     Memory memory(int descriptors) {
-        Learned<String> learned = balancer.learned().named(directory::host);
+        LearnedState<String> learned = balancer.learned().withKeys(directory::host);
         return new Memory(
                 clock.machineMs(),
                 unanswered,
--- a/src/main/java/ivybank/handover/Memory.java
+++ b/src/main/java/ivybank/handover/Memory.java
@@ -8,7 +8,7 @@
  * @param descriptors that it holds for connections
  * @param learned by the ids that discovery gives
  */
-public record Memory(double writtenMs, int inHand, int descriptors, Learned<String> learned) {
+public record Memory(double writtenMs, int inHand, int descriptors, LearnedState<String> learned) {
 
     /** Word of a process that lives is at most this old. */
     private static final double FRESH_MS = 2000;
--- a/src/main/java/ivybank/handover/MemoryCodec.java
+++ b/src/main/java/ivybank/handover/MemoryCodec.java
@@ -41,10 +41,10 @@
      * @param memory of which nodes beyond the most that fit are left out
      */
     public static byte[] write(Memory memory) {
-        Learned<String> learned = memory.learned();
-        List<Map.Entry<byte[], Learned.OfNode>> nodes = new ArrayList<>();
+        LearnedState<String> learned = memory.learned();
+        List<Map.Entry<byte[], LearnedState.NodeState>> nodes = new ArrayList<>();
         int bytes = 0;
-        for (Map.Entry<String, Learned.OfNode> node : learned.nodes().entrySet()) {
+        for (Map.Entry<String, LearnedState.NodeState> node : learned.nodes().entrySet()) {
             byte[] id = node.getKey().getBytes(StandardCharsets.UTF_8);
             if (id.length <= LONGEST_ID && nodes.size() < MOST_NODES) {
                 nodes.add(Map.entry(id, node.getValue()));
@@ -56,25 +56,25 @@
                 + 64
                 + bytes
                 + 20 * learned.classes().size()
-                + 12 * learned.carried().size());
+                + 12 * learned.maxRateByKind().size());
         out.putInt(MARK).putShort(VERSION).putInt(0);
         out.putDouble(memory.writtenMs()).putInt(memory.inHand()).putInt(memory.descriptors());
-        out.putDouble(learned.admitted()).putDouble(learned.extra());
+        out.putDouble(learned.admittedShare()).putDouble(learned.extraAttempts());
         out.putInt(learned.classes().size());
         learned.classes()
                 .forEach(its ->
                         out.putDouble(its.typicalMs()).putDouble(its.quietMs()).putInt(its.answers()));
-        out.putInt(learned.carried().size());
-        learned.carried().forEach((kind, perMs) -> out.putInt(kind).putDouble(perMs));
+        out.putInt(learned.maxRateByKind().size());
+        learned.maxRateByKind().forEach((kind, perMs) -> out.putInt(kind).putDouble(perMs));
         out.putInt(nodes.size());
-        for (Map.Entry<byte[], Learned.OfNode> entry : nodes) {
-            Learned.OfNode node = entry.getValue();
+        for (Map.Entry<byte[], LearnedState.NodeState> entry : nodes) {
+            LearnedState.NodeState node = entry.getValue();
             out.putShort((short) entry.getKey().length).put(entry.getKey());
             out.putDouble(node.startedMs())
                     .putDouble(node.rank())
                     .putDouble(node.share())
                     .putFloat((float) node.window());
-            out.putInt(node.out()).put((byte) (node.aside() ? 1 : 0));
+            out.putInt(node.inFlight()).put((byte) (node.aside() ? 1 : 0));
         }
         out.putInt(HEAD_BYTES - 4, out.position() - HEAD_BYTES);
         out.putInt((int) sum(out.array(), out.position()));
@@ -112,24 +112,24 @@
         int descriptors = in.getInt();
         double admitted = in.getDouble();
         double extra = in.getDouble();
-        List<Learned.OfClass> classes = new ArrayList<>();
+        List<LearnedState.ClassState> classes = new ArrayList<>();
         for (int left = in.getInt(); left > 0; left--) {
-            classes.add(new Learned.OfClass(in.getDouble(), in.getDouble(), in.getInt()));
+            classes.add(new LearnedState.ClassState(in.getDouble(), in.getDouble(), in.getInt()));
         }
         Map<Integer, Double> carried = new HashMap<>();
         for (int left = in.getInt(); left > 0; left--) {
             carried.put(in.getInt(), in.getDouble());
         }
-        Map<String, Learned.OfNode> nodes = new HashMap<>();
+        Map<String, LearnedState.NodeState> nodes = new HashMap<>();
         for (int left = in.getInt(); left > 0; left--) {
             byte[] id = new byte[in.getShort()];
             in.get(id);
             nodes.put(
                     new String(id, StandardCharsets.UTF_8),
-                    new Learned.OfNode(
+                    new LearnedState.NodeState(
                             in.getDouble(), in.getDouble(), in.getDouble(), in.getFloat(), in.getInt(), in.get() != 0));
         }
-        return new Memory(writtenMs, inHand, descriptors, new Learned<>(admitted, extra, classes, nodes, carried));
+        return new Memory(writtenMs, inHand, descriptors, new LearnedState<>(admitted, extra, classes, nodes, carried));
     }
 
     private static long sum(byte[] bytes, int length) {
--- a/src/main/java/ivybank/handover/Trust.java
+++ b/src/main/java/ivybank/handover/Trust.java
@@ -11,7 +11,7 @@
     }
 
     /** Whether what is remembered of a node is of its present life; discovery's word on its start wins. */
-    public static boolean sameLife(Learned.OfNode remembered, double startedMs) {
+    public static boolean sameLife(LearnedState.NodeState remembered, double startedMs) {
         return remembered.startedMs() == startedMs;
     }
 }
--- a/src/main/java/ivybank/policy/Host.java
+++ b/src/main/java/ivybank/policy/Host.java
@@ -2,7 +2,7 @@
 
 import ivybank.concurrency.ConcurrencyLimit;
 import ivybank.concurrency.Mean;
-import ivybank.handover.Learned;
+import ivybank.handover.LearnedState;
 import ivybank.handover.Trust;
 import ivybank.slowstart.TokenBucket;
 import java.util.ArrayDeque;
@@ -65,8 +65,8 @@
         return warmth(nowMs, contract) < 1;
     }
 
-    Learned.OfNode learned(boolean member) {
-        return new Learned.OfNode(
+    LearnedState.NodeState learned(boolean member) {
+        return new LearnedState.NodeState(
                 listed.startedMs(),
                 rank,
                 member ? share : 0,
@@ -76,7 +76,7 @@
     }
 
     /** Keeps its place in the random order also over a restart, the rest only within one life. */
-    void recall(Learned.OfNode other, double trust) {
+    void recall(LearnedState.NodeState other, double trust) {
         rank = other == null ? rank : other.rank();
         if (other != null && other.share() > 0 && Trust.sameLife(other, listed.startedMs())) {
             share = Trust.blend(share, other.share(), trust);
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -1,6 +1,6 @@
 package ivybank.policy;
 
-import ivybank.handover.Learned;
+import ivybank.handover.LearnedState;
 import ivybank.handover.Trust;
 import ivybank.queue.RankedQueues;
 import ivybank.slowstart.ColdNodeRateLimiter;
@@ -342,20 +342,20 @@
     // ---- Another process of this sidecar, before this one or beside it: what it has learned, and what it has out.
 
     @Override
-    public Learned<Integer> learned() {
-        Map<Integer, Learned.OfNode> nodes = new HashMap<>();
+    public LearnedState<Integer> learned() {
+        Map<Integer, LearnedState.NodeState> nodes = new HashMap<>();
         list.hosts.forEach(host -> nodes.put(host.id, host.learned(members.contains(host))));
-        return new Learned<>(
+        return new LearnedState<>(
                 admit, extra, classes.stream().map(ClassView::learned).toList(), nodes, coldNodeRates.most());
     }
 
     @Override
-    public void recall(Learned<Integer> other, double trust) {
+    public void recall(LearnedState<Integer> other, double trust) {
         if (other.classes().size() == classes.size()) {
-            admit = Trust.blend(admit, other.admitted(), trust);
-            extra = Trust.blend(extra, Math.min(EXTRA_SAVED, other.extra()), trust);
+            admit = Trust.blend(admit, other.admittedShare(), trust);
+            extra = Trust.blend(extra, Math.min(EXTRA_SAVED, other.extraAttempts()), trust);
             classes.forEach(view -> view.recall(other.classes().get(classes.indexOf(view)), trust));
-            coldNodeRates.recall(other.carried(), trust);
+            coldNodeRates.recall(other.maxRateByKind(), trust);
         }
         list.hosts.forEach(
                 host -> host.recall(other.nodes().get(host.id), 0)); // the order first: it says who is drawn from
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ivybank.handover.Learned;
+import ivybank.handover.LearnedState;
 import ivybank.handover.Memory;
 import ivybank.handover.MemoryFiles;
 import ivybank.testing.FakeServer;
@@ -51,7 +51,7 @@
     /** What another process leaves while it has so many requests in hand; until it has been read. */
     private void leave(MemoryFiles other, int inHand) throws Exception {
         for (int i = 0; i < 5; i++) {
-            other.write(new Memory(clock.machineMs(), inHand, 10, new Learned<>(1, 0, List.of(), Map.of(), Map.of())));
+            other.write(new Memory(clock.machineMs(), inHand, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
             Thread.sleep(60);
         }
     }
--- a/src/test/java/ivybank/handover/MemoryTest.java
+++ b/src/test/java/ivybank/handover/MemoryTest.java
@@ -27,15 +27,15 @@
                 writtenMs,
                 7,
                 90,
-                new Learned<>(
+                new LearnedState<>(
                         0.5,
                         3,
-                        List.of(new Learned.OfClass(300, 250, 90)),
+                        List.of(new LearnedState.ClassState(300, 250, 90)),
                         Map.of(
                                 "s-1",
-                                new Learned.OfNode(0, 0.25, 0.4, 17.5, 3, false),
+                                new LearnedState.NodeState(0, 0.25, 0.4, 17.5, 3, false),
                                 "s-2",
-                                new Learned.OfNode(NOW_MS - 5000, 0.75, 0.6, 2, 0, true)),
+                                new LearnedState.NodeState(NOW_MS - 5000, 0.75, 0.6, 2, 0, true)),
                         Map.of(0, 0.05, 2, 0.01)));
     }
 
@@ -72,7 +72,7 @@
             ByteBuffer.wrap(odd).putInt(length, (int) sum.getValue());
             try {
                 Memory read = MemoryCodec.read(odd);
-                assertTrue(read.learned().admitted() > 0 && read.learned().admitted() <= 1);
+                assertTrue(read.learned().admittedShare() > 0 && read.learned().admittedShare() <= 1);
             } catch (MemoryCodec.Unreadable e) {
                 assertEquals("its figures make no sense", e.getMessage());
             }
--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ivybank.handover.Learned;
+import ivybank.handover.LearnedState;
 import ivybank.policy.Balancer.ListKind;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.policy.Balancer.Status;
@@ -43,12 +43,12 @@
     @Test
     void theNextProcessBeginsWithTheSharesTheWindowsAndTheSubsetOfTheOneBefore() {
         Sidecar old = old();
-        Learned<Integer> learned = old.balancer.learned();
+        LearnedState<Integer> learned = old.balancer.learned();
         Sidecar next = new Sidecar(Samples.safe(), 77);
         next.now = old.now;
         next.ready(14);
         next.balancer.recall(learned, 1);
-        Learned<Integer> taken = next.balancer.learned();
+        LearnedState<Integer> taken = next.balancer.learned();
         learned.nodes().forEach((id, node) -> {
             assertEquals(node.share(), taken.nodes().get(id).share(), 1e-9, "upstream " + id);
             assertEquals(
@@ -58,7 +58,7 @@
                     "upstream " + id);
         });
         assertEquals(learned.classes(), taken.classes());
-        assertEquals(learned.carried(), taken.carried());
+        assertEquals(learned.maxRateByKind(), taken.maxRateByKind());
     }
 
     @Test
@@ -98,10 +98,10 @@
         Sidecar old = old();
         Sidecar next = new Sidecar(Samples.safe(), 77);
         next.ready(3);
-        Learned<Integer> learned = old.balancer.learned();
-        next.balancer.recall(new Learned<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
+        LearnedState<Integer> learned = old.balancer.learned();
+        next.balancer.recall(new LearnedState<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
         assertEquals(3, next.balancer.learned().nodes().size());
-        assertEquals(1, next.balancer.learned().admitted(), "of other classes");
+        assertEquals(1, next.balancer.learned().admittedShare(), "of other classes");
         play(next, 1000);
         assertEquals(List.of(), next.breaches);
     }
@@ -114,7 +114,7 @@
         next.ready(14);
         next.balancer.recall(old.balancer.learned(), 1);
         double windows = 0;
-        for (Learned.OfNode node : old.balancer.learned().nodes().values()) {
+        for (LearnedState.NodeState node : old.balancer.learned().nodes().values()) {
             windows += node.share() > 0 ? Math.max(1, node.window()) : 0;
         }
         Map<Integer, Integer> all = new java.util.HashMap<>();
