--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -5,8 +5,8 @@
 import ivybank.common.Clock;
 import ivybank.common.Descriptors;
 import ivybank.common.Log;
-import ivybank.handover.Memory;
-import ivybank.handover.MemoryFiles;
+import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.HandoverSnapshotFiles;
 import ivybank.supervision.Chain;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
@@ -45,7 +45,7 @@
     private final Descriptors descriptors;
     private final Clock clock;
     private final Log log;
-    private final MemoryFiles files;
+    private final HandoverSnapshotFiles files;
     private final ScheduledExecutorService thread;
     private volatile boolean company;
     // Used by the thread alone.
@@ -67,7 +67,7 @@
         this.descriptors = descriptors;
         this.clock = clock;
         this.log = log;
-        files = new MemoryFiles(folder, ProcessHandle.current().pid(), log::line);
+        files = new HandoverSnapshotFiles(folder, ProcessHandle.current().pid(), log::line);
         thread = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread its = new Thread(task, "handover");
             its.setDaemon(true);
@@ -78,7 +78,7 @@
     /** Takes over what the process before this one has left, if there is any; before this one serves. */
     void takeOver() {
         double nowMs = clock.machineMs();
-        Optional<Memory> newest = others().stream().max(Comparator.comparingDouble(Memory::writtenMs));
+        Optional<HandoverSnapshot> newest = others().stream().max(Comparator.comparingDouble(HandoverSnapshot::writtenMs));
         newest.ifPresent(memory -> {
             log.line("taking over what another process has learned of "
                     + memory.learned().nodes().size() + " nodes, " + Math.round(nowMs - memory.writtenMs())
@@ -106,7 +106,7 @@
         }
     }
 
-    private List<Memory> others() {
+    private List<HandoverSnapshot> others() {
         try {
             return files.others(clock.machineMs());
         } catch (IOException e) {
@@ -120,7 +120,7 @@
         Map<String, Integer> out = new HashMap<>();
         int inHand = 0;
         int held = company ? HELD_BESIDE : 0;
-        for (Memory memory : company ? others() : List.<Memory>of()) {
+        for (HandoverSnapshot memory : company ? others() : List.<HandoverSnapshot>of()) {
             if (memory.isFresh(nowMs)) {
                 inHand += memory.inHand();
                 held += memory.descriptors();
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -12,7 +12,7 @@
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
 import ivybank.handover.LearnedState;
-import ivybank.handover.Memory;
+import ivybank.handover.HandoverSnapshot;
 import ivybank.invariants.InvariantGuard;
 import ivybank.policy.Balancer;
 import ivybank.policy.Balancer.AttemptEnd;
@@ -143,9 +143,9 @@
     }
 
     /** What this process leaves for others of its sidecar. */
-    Memory memory(int descriptors) {
+    HandoverSnapshot memory(int descriptors) {
         LearnedState<String> learned = balancer.learned().withKeys(directory::host);
-        return new Memory(
+        return new HandoverSnapshot(
                 clock.machineMs(),
                 unanswered,
                 descriptors,
--- a/src/main/java/ivybank/handover/Memory.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshot.java
@@ -8,7 +8,7 @@
  * @param descriptors that it holds for connections
  * @param learned by the ids that discovery gives
  */
-public record Memory(double writtenMs, int inHand, int descriptors, LearnedState<String> learned) {
+public record HandoverSnapshot(double writtenMs, int inHand, int descriptors, LearnedState<String> learned) {
 
     /** Word of a process that lives is at most this old. */
     private static final double FRESH_MS = 2000;
@@ -17,7 +17,7 @@
     /** The clocks of two processes on one machine differ by less. */
     private static final double LEAST_AGE_MS = -1000;
 
-    public Memory {
+    public HandoverSnapshot {
         if (!(writtenMs > 0) || inHand < 0 || descriptors < 0) {
             throw new IllegalArgumentException("not what a process leaves");
         }
--- a/src/main/java/ivybank/handover/MemoryCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -9,10 +9,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * Memory as bytes: a mark, the version of the form, the length of what follows, that, and the CRC-32C of all before it.
+ * A snapshot as bytes: a mark, the version of the form, the length of what follows, that, and the CRC-32C of all before it.
  * What is damaged, foreign or of another version is told as {@link Unreadable}, never taken in part.
  */
-public final class MemoryCodec {
+public final class HandoverSnapshotCodec {
 
     /** Bytes that hold no memory of this version; the message says why. */
     public static final class Unreadable extends Exception {
@@ -33,14 +33,14 @@
     private static final int MOST_NODES = 8192;
     private static final int LONGEST_ID = 512;
 
-    private MemoryCodec() {}
+    private HandoverSnapshotCodec() {}
 
     /**
      * Writes it in the layout of the class comment.
      *
      * @param memory of which nodes beyond the most that fit are left out
      */
-    public static byte[] write(Memory memory) {
+    public static byte[] write(HandoverSnapshot memory) {
         LearnedState<String> learned = memory.learned();
         List<Map.Entry<byte[], LearnedState.NodeState>> nodes = new ArrayList<>();
         int bytes = 0;
@@ -83,7 +83,7 @@
         return written;
     }
 
-    public static Memory read(byte[] bytes) throws Unreadable {
+    public static HandoverSnapshot read(byte[] bytes) throws Unreadable {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < HEAD_BYTES + SUM_BYTES || in.getInt() != MARK) {
             throw new Unreadable(bytes.length == 0 ? "it is empty" : "it holds something else");
@@ -106,7 +106,7 @@
         }
     }
 
-    private static Memory body(ByteBuffer in) {
+    private static HandoverSnapshot body(ByteBuffer in) {
         double writtenMs = in.getDouble();
         int inHand = in.getInt();
         int descriptors = in.getInt();
@@ -129,7 +129,7 @@
                     new LearnedState.NodeState(
                             in.getDouble(), in.getDouble(), in.getDouble(), in.getFloat(), in.getInt(), in.get() != 0));
         }
-        return new Memory(writtenMs, inHand, descriptors, new LearnedState<>(admitted, extra, classes, nodes, carried));
+        return new HandoverSnapshot(writtenMs, inHand, descriptors, new LearnedState<>(admitted, extra, classes, nodes, carried));
     }
 
     private static long sum(byte[] bytes, int length) {
--- a/src/main/java/ivybank/handover/MemoryFiles.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotFiles.java
@@ -15,7 +15,7 @@
 /**
  * A file of each process of a sidecar in the folder that they share, replaced whole. Used by one thread of a process.
  */
-public final class MemoryFiles {
+public final class HandoverSnapshotFiles {
 
     private static final String FORM = "ivybank-*.memory";
     private static final int MOST_FILES = 16;
@@ -27,7 +27,7 @@
     private final Set<Path> told = new HashSet<>();
 
     /** @param log gets a line for each file that can't be used */
-    public MemoryFiles(Path folder, long process, Consumer<String> log) {
+    public HandoverSnapshotFiles(Path folder, long process, Consumer<String> log) {
         this.folder = folder;
         this.log = log;
         own = folder.resolve("ivybank-" + process + ".memory");
@@ -35,8 +35,8 @@
     }
 
     /** Replaces this process's file, so that a reader has the one before or this one. */
-    public void write(Memory memory) throws IOException {
-        Files.write(next, MemoryCodec.write(memory));
+    public void write(HandoverSnapshot memory) throws IOException {
+        Files.write(next, HandoverSnapshotCodec.write(memory));
         Files.move(next, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
@@ -44,8 +44,8 @@
      * What the other processes have left, those that have ended too; what can't be read is told once and, like what is too
      * old, removed.
      */
-    public List<Memory> others(double nowMs) throws IOException {
-        List<Memory> others = new ArrayList<>();
+    public List<HandoverSnapshot> others(double nowMs) throws IOException {
+        List<HandoverSnapshot> others = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FORM)) {
             for (Path file : files) {
                 if (!file.equals(own) && others.size() < MOST_FILES) {
@@ -56,12 +56,12 @@
         return others;
     }
 
-    private void read(Path file, double nowMs, List<Memory> into) throws IOException {
+    private void read(Path file, double nowMs, List<HandoverSnapshot> into) throws IOException {
         try {
-            if (Files.size(file) > MemoryCodec.MOST_BYTES) {
-                throw new MemoryCodec.Unreadable("it is too large");
+            if (Files.size(file) > HandoverSnapshotCodec.MOST_BYTES) {
+                throw new HandoverSnapshotCodec.Unreadable("it is too large");
             }
-            Memory memory = MemoryCodec.read(Files.readAllBytes(file));
+            HandoverSnapshot memory = HandoverSnapshotCodec.read(Files.readAllBytes(file));
             if (memory.trust(nowMs) > 0) {
                 into.add(memory);
             } else {
@@ -69,7 +69,7 @@
             }
         } catch (NoSuchFileException e) {
             return; // its process has ended meanwhile
-        } catch (MemoryCodec.Unreadable e) {
+        } catch (HandoverSnapshotCodec.Unreadable e) {
             if (told.add(file)) {
                 log.accept(file + " is of no use, and removed: " + e.getMessage());
             }
--- a/src/test/java/ivybank/LayoutTest.java
+++ b/src/test/java/ivybank/LayoutTest.java
@@ -199,7 +199,7 @@
                         "ivybank.handover..",
                         "ivybank.fleet..")
                 .and()
-                .doNotHaveFullyQualifiedName("ivybank.handover.MemoryFiles")
+                .doNotHaveFullyQualifiedName("ivybank.handover.HandoverSnapshotFiles")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ivybank.handover.LearnedState;
-import ivybank.handover.Memory;
-import ivybank.handover.MemoryFiles;
+import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.HandoverSnapshotFiles;
 import ivybank.testing.FakeServer;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -49,9 +49,9 @@
     }
 
     /** What another process leaves while it has so many requests in hand; until it has been read. */
-    private void leave(MemoryFiles other, int inHand) throws Exception {
+    private void leave(HandoverSnapshotFiles other, int inHand) throws Exception {
         for (int i = 0; i < 5; i++) {
-            other.write(new Memory(clock.machineMs(), inHand, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
+            other.write(new HandoverSnapshot(clock.machineMs(), inHand, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
             Thread.sleep(60);
         }
     }
@@ -103,7 +103,7 @@
         inherited = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         start(FakeServer.nobody(), String.join(",", hosts), 300);
         sidecar.handOver(folder);
-        MemoryFiles other = new MemoryFiles(folder, 1, said -> {});
+        HandoverSnapshotFiles other = new HandoverSnapshotFiles(folder, 1, said -> {});
         sidecar.company(true);
         leave(other, 55);
         assertRefused(2, 10 + 2);
--- a/src/test/java/ivybank/handover/MemoryTest.java
+++ b/src/test/java/ivybank/handover/HandoverSnapshotTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class MemoryTest {
+class HandoverSnapshotTest {
 
     private static final double NOW_MS = 1.7e12;
 
-    private static Memory memory(double writtenMs) {
-        return new Memory(
+    private static HandoverSnapshot memory(double writtenMs) {
+        return new HandoverSnapshot(
                 writtenMs,
                 7,
                 90,
@@ -41,28 +41,28 @@
 
     @Test
     void whatIsWrittenIsRead() throws Exception {
-        assertEquals(memory(NOW_MS), MemoryCodec.read(MemoryCodec.write(memory(NOW_MS))));
+        assertEquals(memory(NOW_MS), HandoverSnapshotCodec.read(HandoverSnapshotCodec.write(memory(NOW_MS))));
     }
 
     @Test
     void whatIsCutAtAnyByteOrHasAnyByteFlippedIsNotBelieved() {
-        byte[] whole = MemoryCodec.write(memory(NOW_MS));
+        byte[] whole = HandoverSnapshotCodec.write(memory(NOW_MS));
         for (int i = 0; i < whole.length; i++) {
             byte[] cut = Arrays.copyOf(whole, i);
-            assertThrows(MemoryCodec.Unreadable.class, () -> MemoryCodec.read(cut), "cut at " + i);
+            assertThrows(HandoverSnapshotCodec.Unreadable.class, () -> HandoverSnapshotCodec.read(cut), "cut at " + i);
             for (int bit = 0; bit < 8; bit++) {
                 byte[] flipped = whole.clone();
                 flipped[i] ^= (byte) (1 << bit);
-                assertThrows(MemoryCodec.Unreadable.class, () -> MemoryCodec.read(flipped), "flipped at " + i);
+                assertThrows(HandoverSnapshotCodec.Unreadable.class, () -> HandoverSnapshotCodec.read(flipped), "flipped at " + i);
             }
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
-        assertThrows(MemoryCodec.Unreadable.class, () -> MemoryCodec.read(longer));
+        assertThrows(HandoverSnapshotCodec.Unreadable.class, () -> HandoverSnapshotCodec.read(longer));
     }
 
     @Test
     void figuresThatMakeNoSenseAreNotBelievedThoughTheSumIsRight() throws Exception {
-        byte[] whole = MemoryCodec.write(memory(NOW_MS));
+        byte[] whole = HandoverSnapshotCodec.write(memory(NOW_MS));
         int length = whole.length - 4;
         for (int i = 10; i < length; i++) {
             byte[] odd = whole.clone();
@@ -71,9 +71,9 @@
             sum.update(odd, 0, length);
             ByteBuffer.wrap(odd).putInt(length, (int) sum.getValue());
             try {
-                Memory read = MemoryCodec.read(odd);
+                HandoverSnapshot read = HandoverSnapshotCodec.read(odd);
                 assertTrue(read.learned().admittedShare() > 0 && read.learned().admittedShare() <= 1);
-            } catch (MemoryCodec.Unreadable e) {
+            } catch (HandoverSnapshotCodec.Unreadable e) {
                 assertEquals("its figures make no sense", e.getMessage());
             }
         }
@@ -81,9 +81,9 @@
 
     @Test
     void anotherVersionIsToldFromDamage() {
-        byte[] other = MemoryCodec.write(memory(NOW_MS));
+        byte[] other = HandoverSnapshotCodec.write(memory(NOW_MS));
         other[5]++;
-        assertTrue(assertThrows(MemoryCodec.Unreadable.class, () -> MemoryCodec.read(other))
+        assertTrue(assertThrows(HandoverSnapshotCodec.Unreadable.class, () -> HandoverSnapshotCodec.read(other))
                 .getMessage()
                 .contains("version 3"));
     }
@@ -102,8 +102,8 @@
     @Test
     void aProcessReadsWhatOthersLeftAndNotItsOwn(@TempDir Path folder) throws Exception {
         List<String> said = new ArrayList<>();
-        MemoryFiles first = new MemoryFiles(folder, 1, said::add);
-        MemoryFiles second = new MemoryFiles(folder, 2, said::add);
+        HandoverSnapshotFiles first = new HandoverSnapshotFiles(folder, 1, said::add);
+        HandoverSnapshotFiles second = new HandoverSnapshotFiles(folder, 2, said::add);
         assertEquals(List.of(), second.others(NOW_MS));
         first.write(memory(NOW_MS));
         first.write(memory(NOW_MS + 1));
@@ -116,13 +116,13 @@
     @Test
     void whatIsOfNoUseIsToldOnceAndRemoved(@TempDir Path folder) throws Exception {
         List<String> said = new ArrayList<>();
-        MemoryFiles files = new MemoryFiles(folder, 1, said::add);
-        byte[] whole = MemoryCodec.write(memory(NOW_MS));
+        HandoverSnapshotFiles files = new HandoverSnapshotFiles(folder, 1, said::add);
+        byte[] whole = HandoverSnapshotCodec.write(memory(NOW_MS));
         Files.write(folder.resolve("ivybank-2.memory"), new byte[0]);
         Files.write(folder.resolve("ivybank-3.memory"), Arrays.copyOf(whole, 40));
         Files.write(folder.resolve("ivybank-4.memory"), "something else altogether".getBytes(StandardCharsets.UTF_8));
-        Files.write(folder.resolve("ivybank-5.memory"), new byte[MemoryCodec.MOST_BYTES + 1]);
-        Files.write(folder.resolve("ivybank-6.memory"), MemoryCodec.write(memory(NOW_MS - 3_600_000)));
+        Files.write(folder.resolve("ivybank-5.memory"), new byte[HandoverSnapshotCodec.MOST_BYTES + 1]);
+        Files.write(folder.resolve("ivybank-6.memory"), HandoverSnapshotCodec.write(memory(NOW_MS - 3_600_000)));
         Files.write(folder.resolve("ivybank-7.memory.next"), whole); // killed in the middle of writing
         assertEquals(List.of(), files.others(NOW_MS));
         assertEquals(List.of(), files.others(NOW_MS));
