--- a/src/main/java/ivybank/concurrency/LatencyTracker.java
+++ b/src/main/java/ivybank/concurrency/LatencyTracker.java
@@ -1,7 +1,7 @@
 package ivybank.concurrency;
 
 import ivybank.handover.LearnedState;
-import ivybank.handover.Trust;
+import ivybank.handover.Confidence;
 
 /** The running median of the latencies of like requests, and what it was when the nodes were quiet; in milliseconds. */
 public class LatencyTracker {
@@ -54,7 +54,7 @@
 
     /** Takes over what another process has learned, as far as it is believed. */
     public void recall(LearnedState.ClassState other, double trust) {
-        typicalMs = Trust.blend(typicalMs, other.typicalMs(), trust);
+        typicalMs = Confidence.blend(typicalMs, other.typicalMs(), trust);
         quietMs = other.quietMs() * trust >= typicalMs / 2 ? other.quietMs() : 0; // half believed it would only mislead
         answers = (int) (other.answers() * trust);
     }
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -82,8 +82,8 @@
         newest.ifPresent(memory -> {
             log.line("taking over what another process has learned of "
                     + memory.learned().nodes().size() + " nodes, " + Math.round(nowMs - memory.writtenMs())
-                    + " ms ago, believed to " + Math.round(100 * memory.trust(nowMs)) + "%");
-            loop.execute(() -> dispatcher.recall(memory.learned(), memory.trust(nowMs)));
+                    + " ms ago, believed to " + Math.round(100 * memory.confidence(nowMs)) + "%");
+            loop.execute(() -> dispatcher.recall(memory.learned(), memory.confidence(nowMs)));
         });
     }
 
--- a/src/main/java/ivybank/handover/HandoverSnapshot.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshot.java
@@ -33,7 +33,7 @@
      * How far it is believed, from 0 to 1: less with each second of its age, and not at all where it is of the future, for
      * then either clock is wrong.
      */
-    public double trust(double nowMs) {
+    public double confidence(double nowMs) {
         double ageMs = nowMs - writtenMs;
         return ageMs < LEAST_AGE_MS ? 0 : Math.max(0, Math.min(1, 1 - ageMs / FORGOTTEN_MS));
     }
--- a/src/main/java/ivybank/handover/HandoverSnapshotFiles.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotFiles.java
@@ -62,7 +62,7 @@
                 throw new HandoverSnapshotCodec.Unreadable("it is too large");
             }
             HandoverSnapshot memory = HandoverSnapshotCodec.read(Files.readAllBytes(file));
-            if (memory.trust(nowMs) > 0) {
+            if (memory.confidence(nowMs) > 0) {
                 into.add(memory);
             } else {
                 Files.deleteIfExists(file); // a process that lives writes anew
--- a/src/main/java/ivybank/policy/Host.java
+++ b/src/main/java/ivybank/policy/Host.java
@@ -3,7 +3,7 @@
 import ivybank.concurrency.ConcurrencyLimit;
 import ivybank.concurrency.Mean;
 import ivybank.handover.LearnedState;
-import ivybank.handover.Trust;
+import ivybank.handover.Confidence;
 import ivybank.slowstart.TokenBucket;
 import java.util.ArrayDeque;
 
@@ -78,9 +78,9 @@
     /** Keeps its place in the random order also over a restart, the rest only within one life. */
     void recall(LearnedState.NodeState other, double trust) {
         rank = other == null ? rank : other.rank();
-        if (other != null && other.share() > 0 && Trust.sameLife(other, listed.startedMs())) {
-            share = Trust.blend(share, other.share(), trust);
-            concurrency.reset(Trust.blend(concurrency.size(), other.window(), trust));
+        if (other != null && other.share() > 0 && Confidence.isSameIncarnation(other, listed.startedMs())) {
+            share = Confidence.blend(share, other.share(), trust);
+            concurrency.reset(Confidence.blend(concurrency.size(), other.window(), trust));
         }
     }
 
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -1,7 +1,7 @@
 package ivybank.policy;
 
 import ivybank.handover.LearnedState;
-import ivybank.handover.Trust;
+import ivybank.handover.Confidence;
 import ivybank.queue.RankedQueues;
 import ivybank.slowstart.ColdNodeRateLimiter;
 import ivybank.subsetting.SubsetSize;
@@ -352,8 +352,8 @@
     @Override
     public void recall(LearnedState<Integer> other, double trust) {
         if (other.classes().size() == classes.size()) {
-            admit = Trust.blend(admit, other.admittedShare(), trust);
-            extra = Trust.blend(extra, Math.min(EXTRA_SAVED, other.extraAttempts()), trust);
+            admit = Confidence.blend(admit, other.admittedShare(), trust);
+            extra = Confidence.blend(extra, Math.min(EXTRA_SAVED, other.extraAttempts()), trust);
             classes.forEach(view -> view.recall(other.classes().get(classes.indexOf(view)), trust));
             coldNodeRates.recall(other.maxRateByKind(), trust);
         }
--- a/src/test/java/ivybank/handover/HandoverSnapshotTest.java
+++ b/src/test/java/ivybank/handover/HandoverSnapshotTest.java
@@ -90,10 +90,10 @@
 
     @Test
     void trustFallsWithAgeAndWhatIsOfTheFutureHasNone() {
-        assertEquals(1, memory(NOW_MS).trust(NOW_MS));
-        assertEquals(0.5, memory(NOW_MS).trust(NOW_MS + 30_000), 1e-6);
-        assertEquals(0, memory(NOW_MS).trust(NOW_MS + 90_000));
-        assertEquals(0, memory(NOW_MS).trust(NOW_MS - 3_600_000), "the clock was set back an hour");
+        assertEquals(1, memory(NOW_MS).confidence(NOW_MS));
+        assertEquals(0.5, memory(NOW_MS).confidence(NOW_MS + 30_000), 1e-6);
+        assertEquals(0, memory(NOW_MS).confidence(NOW_MS + 90_000));
+        assertEquals(0, memory(NOW_MS).confidence(NOW_MS - 3_600_000), "the clock was set back an hour");
         assertTrue(memory(NOW_MS).isFresh(NOW_MS + 100));
         assertFalse(memory(NOW_MS).isFresh(NOW_MS + 10_000), "its process has ended or stands still");
         assertFalse(memory(NOW_MS).isFresh(NOW_MS - 3_600_000));
