--- a/src/main/java/ivybank/daemon/Config.java
+++ b/src/main/java/ivybank/daemon/Config.java
@@ -105,10 +105,10 @@
                 (int) number(root, "/limits/sockets", SOCKETS_UNKNOWN),
                 number(settings, "/limits/connectTimeoutMs", CONNECT_TIMEOUT_MS_UNKNOWN),
                 number(settings, "/limits/connIdleMs", IDLE_MS_UNKNOWN),
-                number(settings, "/contract/drainGraceMs", Timing.USUAL_GRACE_MS),
+                number(settings, "/contract/drainGraceMs", Timing.DEFAULT_DRAIN_GRACE_MS),
                 words(settings.path("failureDomains")),
                 words(settings.path("kinds")),
-                known.isObject() ? HostUpdate.read(known) : HostUpdate.NOTHING_KNOWN,
+                known.isObject() ? HostUpdate.read(known) : HostUpdate.EMPTY,
                 SettingsText.parse(text.toString()),
                 limits(root.path("limits")));
     }
--- a/src/main/java/ivybank/discovery/HostUpdate.java
+++ b/src/main/java/ivybank/discovery/HostUpdate.java
@@ -13,7 +13,7 @@
  */
 public record HostUpdate(long seq, boolean whole, boolean fromElsewhere, List<Entry> entries) {
 
-    public static final HostUpdate NOTHING_KNOWN = new HostUpdate(0, true, List.of());
+    public static final HostUpdate EMPTY = new HostUpdate(0, true, List.of());
 
     public HostUpdate(long seq, boolean whole, List<Entry> entries) {
         this(seq, whole, false, entries);
--- a/src/main/java/ivybank/discovery/Timing.java
+++ b/src/main/java/ivybank/discovery/Timing.java
@@ -8,7 +8,7 @@
 public record Timing(int silenceMs, int firstAnswerMs, int connectMs, double longestPauseMs, boolean asked) {
 
     /** A drain's grace where the settings name none. */
-    public static final double USUAL_GRACE_MS = 500;
+    public static final double DEFAULT_DRAIN_GRACE_MS = 500;
     /** What is told on a watch, or on none, counts as told so long after a watch has fallen silent. */
     public static final double SILENCE_COUNTS_MS = 6000;
     /** For a call that may wait: so long after that wait is over. */
--- a/src/main/java/ivybank/operator/OperatorFile.java
+++ b/src/main/java/ivybank/operator/OperatorFile.java
@@ -30,7 +30,7 @@
 
     /** The same, where the platform's settings are not known. */
     public static OperatorFile read(Path file) throws InputException {
-        return read(file, Timing.standard(false, Timing.USUAL_GRACE_MS));
+        return read(file, Timing.standard(false, Timing.DEFAULT_DRAIN_GRACE_MS));
     }
 
     /**
--- a/src/main/java/ivybank/scale/worker/HollowSidecar.java
+++ b/src/main/java/ivybank/scale/worker/HollowSidecar.java
@@ -23,7 +23,7 @@
 final class HollowSidecar {
 
     /** As where one service answers all sidecars: the agent of a pushed list would be one for each machine. */
-    private static final Timing PATIENCE = Timing.standard(true, Timing.USUAL_GRACE_MS);
+    private static final Timing PATIENCE = Timing.standard(true, Timing.DEFAULT_DRAIN_GRACE_MS);
 
     private final Clock clock;
     private final Directory directory = new Directory(List.of(), List.of(), node -> {});
--- a/src/test/java/ivybank/discovery/DiscoveryTest.java
+++ b/src/test/java/ivybank/discovery/DiscoveryTest.java
@@ -112,10 +112,10 @@
     void whereNothingIsKnownOrNobodyWaitsInTurnTheWholeListComesFirst() throws Exception {
         assertEquals(41, KNOWN.resumeFrom(true));
         assertEquals(-1, KNOWN.resumeFrom(false));
-        assertEquals(-1, HostUpdate.NOTHING_KNOWN.resumeFrom(true));
+        assertEquals(-1, HostUpdate.EMPTY.resumeFrom(true));
         assertEquals(-1, new HostUpdate(41, false, KNOWN.entries()).resumeFrom(true), "a part of a list is no list");
         server = new FakeServer(connection -> connection.read());
-        follow(HostUpdate.NOTHING_KNOWN.resumeFrom(true));
+        follow(HostUpdate.EMPTY.resumeFrom(true));
         assertTrue(server.nextRequest().startsWith("GET /registry/instances HTTP/1.1"));
     }
 }
