--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -162,7 +162,7 @@
         DescriptorShares shares = DescriptorShares.of(config.sockets());
         descriptors = new Descriptors(shares.all());
         clientLimits = shares.clients();
-        UpstreamPool.Limits limits = UpstreamPool.Limits.usual(
+        UpstreamPool.Limits limits = UpstreamPool.Limits.standard(
                 shares.upstreams(),
                 (int) config.connectTimeoutMs(),
                 Math.min(LONGEST_IDLE_MS, PART_OF_IDLE_LIMIT * config.connectionIdleMs()),
@@ -445,17 +445,17 @@
     }
 
     private void beginToFollow(double listAtMs) {
-        pool.countIn(tally);
+        pool.setTally(tally);
         dispatcher.countIn(tally);
-        discovery.countIn(tally);
-        ListLease lease = ListLease.usual(timing.asked(), config.drainGraceMs());
-        lease.beginsAt(listAtMs);
-        discovery.renews(lease);
+        discovery.setTally(tally);
+        ListLease lease = ListLease.standard(timing.asked(), config.drainGraceMs());
+        lease.startAt(listAtMs);
+        discovery.setLease(lease);
         dispatcher.heeds(lease, guard);
         watchdog.watch(discovery);
         watchdog.watch(configReload);
         pool.chains().forEach(watchdog::watch);
-        pool.mind(beforeSends);
+        pool.setStallDetector(beforeSends);
         dispatcher.mind(ofRequests, beforeSends);
         look(beforeSends);
         look(ofRequests);
@@ -466,7 +466,7 @@
         if (timing.asked()) {
             askedEnough.trySuccess(null);
         } else {
-            discovery.onFirstWord(() -> {
+            discovery.onFirstCallCompleted(() -> {
                 timeline.reached("discovery heard or given up for now");
                 discoveryAsked = true;
                 askedEnough.trySuccess(null);
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -145,12 +145,12 @@
     }
 
     /** From now on tells this of calls and versions. Before the start. */
-    public void countIn(Tally counts) {
+    public void setTally(Tally counts) {
         tally = counts;
     }
 
     /** From now on tells this when the list is confirmed, and when it can't be. Before the start. */
-    public void renews(ListLease listLease) {
+    public void setLease(ListLease listLease) {
         lease = listLease;
     }
 
@@ -158,7 +158,7 @@
      * Tells this once, when the first call has brought a list or has ended without one, at the latest when one that is answered
      * must have done so. Before the start.
      */
-    public void onFirstWord(Runnable listens) {
+    public void onFirstCallCompleted(Runnable listens) {
         firstWord = listens;
         loop.schedule(this::firstWord, (long) timing.returnMs(), TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/ivybank/discovery/ListLease.java
+++ b/src/main/java/ivybank/discovery/ListLease.java
@@ -46,7 +46,7 @@
      * @param asked whether calls wait in turn at one service for all sidecars
      * @param graceMs for how long a node may be sent to that was told to drain
      */
-    public static ListLease usual(boolean asked, double graceMs) {
+    public static ListLease standard(boolean asked, double graceMs) {
         double allowedMs = asked ? Timing.TOLD_AFTER_FAILED_CALL_MS : graceMs;
         return new ListLease(asked, Math.max(LEAST_MS, allowedMs - MARGIN_MS));
     }
@@ -55,7 +55,7 @@
      * The list is one that the process was started with, at this time. Where lists are pushed nothing is served before the agent was
      * asked, so that this says nothing there.
      */
-    public void beginsAt(double startedMs) {
+    public void startAt(double startedMs) {
         unheardSinceMs = asked ? startedMs : Double.NaN;
     }
 
--- a/src/main/java/ivybank/scale/worker/HollowSidecar.java
+++ b/src/main/java/ivybank/scale/worker/HollowSidecar.java
@@ -54,7 +54,7 @@
                 .localAddress(from);
         balancer = new LoadShiftingBalancer(HollowSettings.SETTINGS, seed, new IgnoredActions());
         discovery = new Discovery(loop, base, server, () -> null, -1, PATIENCE, this::update, clock, log);
-        discovery.countIn(tally);
+        discovery.setTally(tally);
     }
 
     /** Begins to follow the list. On the event loop. */
--- a/src/main/java/ivybank/upstream/ConnectionOpener.java
+++ b/src/main/java/ivybank/upstream/ConnectionOpener.java
@@ -59,7 +59,7 @@
     }
 
     /** From now on tells this of what happens to connections. Before the first is begun. */
-    void countIn(Tally counts) {
+    void setTally(Tally counts) {
         tally = counts;
     }
 
--- a/src/main/java/ivybank/upstream/ConnectionReusePolicy.java
+++ b/src/main/java/ivybank/upstream/ConnectionReusePolicy.java
@@ -39,7 +39,7 @@
     record Limits(double restMs, double sparesPerAttempt, int mostSpares, double refusedMs, double coldMs) {
 
         /** The usual limits, with spare connections only for nodes that started longer than {@code coldMs} ago. */
-        static Limits usual(double restMs, double coldMs) {
+        static Limits standard(double restMs, double coldMs) {
             return new Limits(restMs, SPARES_PER_ATTEMPT, MOST_SPARES, REFUSED_MS, coldMs);
         }
     }
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -35,19 +35,19 @@
             int connections, int connectTimeoutMs, double idleMs, double stallMs, ConnectionReusePolicy.Limits reuse) {
 
         /** The usual limits; {@code coldMs} is how long after its start a node is still warming up. */
-        public static Limits usual(int connections, int connectTimeoutMs, double idleMs, double coldMs) {
+        public static Limits standard(int connections, int connectTimeoutMs, double idleMs, double coldMs) {
             return new Limits(
                     connections,
                     connectTimeoutMs,
                     idleMs,
                     LONGEST_STALL_MS,
-                    ConnectionReusePolicy.Limits.usual(REST_MS, coldMs));
+                    ConnectionReusePolicy.Limits.standard(REST_MS, coldMs));
         }
 
         /** Limits under which a connection can be used again at once, for nodes that are known to answer once. */
         public static Limits withoutRest(int connections, int connectTimeoutMs, double idleMs) {
             return new Limits(
-                    connections, connectTimeoutMs, idleMs, LONGEST_STALL_MS, ConnectionReusePolicy.Limits.usual(0, 0));
+                    connections, connectTimeoutMs, idleMs, LONGEST_STALL_MS, ConnectionReusePolicy.Limits.standard(0, 0));
         }
     }
 
@@ -101,9 +101,9 @@
     }
 
     /** From now on tells this of what happens to connections. Before the first is begun. */
-    public void countIn(Tally counts) {
+    public void setTally(Tally counts) {
         tally = counts;
-        opener.countIn(counts);
+        opener.setTally(counts);
     }
 
     /** What closes idle connections, finds lost ones, and looks after those of which nothing is told. */
@@ -112,7 +112,7 @@
     }
 
     /** From now on minds whether the event loop was held up. */
-    public void mind(EventLoopStallDetector loops) {
+    public void setStallDetector(EventLoopStallDetector loops) {
         stallDetector = loops;
     }
 
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -65,7 +65,7 @@
             UpstreamPool pool = new UpstreamPool(
                     loop,
                     clock,
-                    UpstreamPool.Limits.usual(10, 250, 10_000, 0),
+                    UpstreamPool.Limits.standard(10, 250, 10_000, 0),
                     new Descriptors(20),
                     new LoadReport(List.of()),
                     new Bootstrap().channel(NioSocketChannel.class),
--- a/src/test/java/ivybank/discovery/DiscoveryTimesTest.java
+++ b/src/test/java/ivybank/discovery/DiscoveryTimesTest.java
@@ -387,7 +387,7 @@
     void theFirstWordIsToldOnceWithTheListOrWithTheEndOfTheFirstCall() throws Exception {
         int[] told = {0};
         down = true;
-        follow(this::answer, Timing.standard(false, 500)).onFirstWord(() -> told[0]++);
+        follow(this::answer, Timing.standard(false, 500)).onFirstCallCompleted(() -> told[0]++);
         agent.advance(100);
         assertEquals(0, told[0], "the agent is asked, and may answer yet");
         agent.advance(100);
--- a/src/test/java/ivybank/discovery/ListLeaseTest.java
+++ b/src/test/java/ivybank/discovery/ListLeaseTest.java
@@ -14,8 +14,8 @@
 
     private static final double LATER_MS = 100_000;
 
-    private final ListLease pushed = ListLease.usual(false, GRACE_MS);
-    private final ListLease asked = ListLease.usual(true, GRACE_MS);
+    private final ListLease pushed = ListLease.standard(false, GRACE_MS);
+    private final ListLease asked = ListLease.standard(true, GRACE_MS);
 
     private static void stand(ListLease lease, double atMs) {
         lease.asked(atMs);
@@ -142,7 +142,7 @@
 
     @Test
     void aProcessThatDidNotAskInTimeSendsNothingBeforeAnAnswer() {
-        asked.beginsAt(1000);
+        asked.startAt(1000);
         assertFalse(asked.hasLapsed(1000 + Timing.TOLD_AFTER_FAILED_CALL_MS - GRACE_MS));
         assertTrue(asked.hasLapsed(1000 + Timing.TOLD_AFTER_FAILED_CALL_MS));
         asked.asked(1000 + Timing.TOLD_AFTER_FAILED_CALL_MS);
@@ -153,7 +153,7 @@
 
     @Test
     void aProcessThatAskedInTimeGoesByTheListOfItsStart() {
-        asked.beginsAt(1000);
+        asked.startAt(1000);
         asked.asked(1500);
         assertFalse(asked.hasLapsed(LATER_MS), "discovery is silent since then");
     }
--- a/src/test/java/ivybank/upstream/ConnectionReuseTest.java
+++ b/src/test/java/ivybank/upstream/ConnectionReuseTest.java
@@ -135,7 +135,7 @@
     void whatAnAttemptWaitedForIsCountedAsItsStage() throws Exception {
         Map<Stage, List<Double>> took = new ConcurrentHashMap<>();
         pool = poolWithSpares(100, 200, 0);
-        pool.countIn(new Tally() {
+        pool.setTally(new Tally() {
             @Override
             public void took(Stage stage, double ms) {
                 took.computeIfAbsent(stage, unseen -> new CopyOnWriteArrayList<>())
--- a/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
+++ b/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
@@ -289,7 +289,7 @@
         pool = new UpstreamPool(
                 loop,
                 clock,
-                new UpstreamPool.Limits(10, 250, 10_000, 300, ConnectionReusePolicy.Limits.usual(30, 0)),
+                new UpstreamPool.Limits(10, 250, 10_000, 300, ConnectionReusePolicy.Limits.standard(30, 0)),
                 descriptors,
                 new LoadReport(List.of()),
                 new Bootstrap().channel(UpstreamSocketChannel.class),
--- a/src/test/java/ivybank/upstream/UpstreamPoolTestBase.java
+++ b/src/test/java/ivybank/upstream/UpstreamPoolTestBase.java
@@ -45,7 +45,7 @@
         return new UpstreamPool(
                 loop,
                 clock,
-                UpstreamPool.Limits.usual(connections, 250, idleMs, 0),
+                UpstreamPool.Limits.standard(connections, 250, idleMs, 0),
                 descriptors,
                 new LoadReport(List.of("rps", "cpu")),
                 new Bootstrap().channel(UpstreamSocketChannel.class),
