--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -50,12 +50,12 @@
     private void recall() {
         List<Upstream> changed = new ArrayList<>();
         learned.nodes()
-                .forEach((host, node) -> changed.addAll(directory.recallStart(host, node.startedMs(), clock.nowMs())));
+                .forEach((host, node) -> changed.addAll(directory.restoreStart(host, node.startedMs(), clock.nowMs())));
         if (!changed.isEmpty()) {
             events.tell(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
         }
         LearnedState<String> rest = recalled.isEmpty() ? learned : learned.nodesOnly();
-        LearnedState<Integer> here = rest.withStarts(directory::startHereMs).withKeys(host -> {
+        LearnedState<Integer> here = rest.withStarts(directory::startByLocalClockMs).withKeys(host -> {
             Integer number = directory.number(host);
             return number != null && recalled.add(number) ? number : null;
         });
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -149,7 +149,7 @@
                 clock.machineMs(),
                 unanswered,
                 descriptors,
-                learned.withStarts((host, startedMs) -> startedMs <= 0 ? startedMs : directory.statedStartMs(host)));
+                learned.withStarts((host, startedMs) -> startedMs <= 0 ? startedMs : directory.startByDiscoveryClockMs(host)));
     }
 
     /** Tells what another process has out by node, and how many requests it has in hand. */
@@ -174,7 +174,7 @@
     }
 
     boolean knows(String node) {
-        return directory.knows(node);
+        return directory.contains(node);
     }
 
     @Override
--- a/src/main/java/ivybank/discovery/Directory.java
+++ b/src/main/java/ivybank/discovery/Directory.java
@@ -192,7 +192,7 @@
      * Takes over from another process when a node last started as far as that one knew: from discovery, or from being called
      * back before discovery had told of it. Returns the entries that this changes in the module's form.
      */
-    public List<Upstream> recallStart(String host, double startedMs, double nowMs) {
+    public List<Upstream> restoreStart(String host, double startedMs, double nowMs) {
         Node node = byHost.get(host);
         double hereMs = node == null ? 0 : Math.min(nowMs, startedMs + node.clockCorrectionMs());
         if (node == null || hereMs <= startOf(node)) {
@@ -203,19 +203,19 @@
     }
 
     /** When a node started as another process of this machine may know it, whatever the clock of this one is. */
-    public double statedStartMs(String host) {
+    public double startByDiscoveryClockMs(String host) {
         Node node = byHost.get(host);
         return node == null ? 0 : node.startedMs() - node.clockCorrectionMs();
     }
 
     /** The same by this process's clock. */
-    public double startHereMs(String host, double statedMs) {
+    public double startByLocalClockMs(String host, double statedMs) {
         Node node = byHost.get(host);
         return node == null || statedMs <= 0 ? statedMs : statedMs + node.clockCorrectionMs();
     }
 
     /** Whether a node of this id is listed, or was when it was taken out. */
-    public boolean knows(String host) {
+    public boolean contains(String host) {
         return byHost.containsKey(host);
     }
 
--- a/src/test/java/ivybank/discovery/OutNodesTest.java
+++ b/src/test/java/ivybank/discovery/OutNodesTest.java
@@ -62,10 +62,10 @@
         assertEquals(
                 List.of(Status.READY, Status.DRAINING),
                 told.stream().map(Upstream::status).toList());
-        assertTrue(directory.knows("a"));
+        assertTrue(directory.contains("a"));
         assertEquals(Status.GONE, directory.takeOut(Map.of(), 5000).get(0).status());
         assertNull(directory.node(id));
-        assertFalse(directory.knows("a"));
+        assertFalse(directory.contains("a"));
     }
 
     @Test
