--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -97,12 +97,12 @@
     private UpstreamAttempt.Listener listener(Exchange exchange, Node node, int number, double begunMs) {
         return new UpstreamAttempt.Listener() {
             @Override
-            public void began(Answer answer) {
+            public void answerStarted(Answer answer) {
                 listener.began(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), answer);
             }
 
             @Override
-            public double mostToldMs() {
+            public double maxBudgetMs() {
                 return exchange.leastLeftMs(clock.nowMs()) + TOLD_SLACK_MS;
             }
 
@@ -154,7 +154,7 @@
             pool.send(attempt);
         } else if (record.recorded()) {
             record.sending();
-            attempt.goOut();
+            attempt.markDispatched();
             pool.send(attempt);
         } else {
             record.record(() -> sendUnlessEnded(exchange, attempt), () -> unrecorded(exchange, attempt));
--- a/src/main/java/ivybank/daemon/Exchange.java
+++ b/src/main/java/ivybank/daemon/Exchange.java
@@ -89,7 +89,7 @@
     void leaveUnsent() {
         for (int number = 0; number < attempts.size(); number++) {
             if (number != passingOn) {
-                attempts.get(number).leaveUnsent();
+                attempts.get(number).cancelIfUnsent();
             }
         }
     }
@@ -97,7 +97,7 @@
     /** Notes on the request's record, if it has one, how an attempt that went out has ended. */
     void recordEnd(int number, Ending ending) {
         SendRecord record = request.record();
-        if (record == null || !attempts.get(number).wentOut()) {
+        if (record == null || !attempts.get(number).wasDispatched()) {
             return;
         }
         record.ended(ending.outcome().provesNotRun());
--- a/src/main/java/ivybank/upstream/UpstreamAttempt.java
+++ b/src/main/java/ivybank/upstream/UpstreamAttempt.java
@@ -18,12 +18,12 @@
     public interface Listener {
 
         /** A long answer has begun; it belongs to the client now, and the attempt ends with it. */
-        default void began(Answer answer) {
+        default void answerStarted(Answer answer) {
             answer.rest().leave();
         }
 
         /** The most that its node may be told of the time that is left, in milliseconds. */
-        default double mostToldMs() {
+        default double maxBudgetMs() {
             return Double.POSITIVE_INFINITY;
         }
 
@@ -59,7 +59,7 @@
     private ScheduledFuture<?> timer;
     private UpstreamConnection connection;
     private boolean ended;
-    private boolean wentOut;
+    private boolean dispatched;
     /** How it ended, or null; and when its first byte was written, by the module's clock. */
     private Outcome outcome;
 
@@ -81,12 +81,12 @@
     }
 
     /** From now on it may reach its node. */
-    public void goOut() {
-        wentOut = true;
+    public void markDispatched() {
+        dispatched = true;
     }
 
-    public boolean wentOut() {
-        return wentOut;
+    public boolean wasDispatched() {
+        return dispatched;
     }
 
     /** From now on it has its time; before that it has as much as its request takes to come. */
@@ -102,7 +102,7 @@
 
     /** What its node is told of that: little more than its client has left, as far as that can be known. */
     double toldMs() {
-        return Math.min(leftMs(), listener.mostToldMs());
+        return Math.min(leftMs(), listener.maxBudgetMs());
     }
 
     private void stopTimer() {
@@ -114,7 +114,7 @@
     /** Passes on an answer that is too long to be kept whole. */
     void begin(Answer answer) {
         stopTimer();
-        listener.began(answer);
+        listener.answerStarted(answer);
     }
 
     /** Whether it may be written now, with this time told to its node. */
@@ -153,7 +153,7 @@
      * Ends it if its last byte has not left: it is not sent any more, whatever it waits for. That is no calling off, for nothing
      * can have begun, and so needs nobody's leave.
      */
-    public void leaveUnsent() {
+    public void cancelIfUnsent() {
         UpstreamConnection carrier = connection;
         if (!ended && (carrier == null || !carrier.written())) {
             end(Ending.of(Outcome.NOT_SENT));
--- a/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
+++ b/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
@@ -304,7 +304,7 @@
             sent.attempt = new UpstreamAttempt(
                     node(server.address()), request(HttpMethod.GET, new byte[0]), 200, new UpstreamAttempt.Listener() {
                         @Override
-                        public void began(Answer answer) {
+                        public void answerStarted(Answer answer) {
                             answer.rest().take(new BodyPipe.Sink() {
                                 @Override
                                 public void part(ByteBuf part) {
