--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -540,7 +540,7 @@
     /** What was done to each node in this second: the sums over all sidecars' logs show what none of them sees alone. */
     private void tally() {
         double nowMs = clock.nowMs();
-        pool.countIdle();
+        pool.reportIdle();
         Second second = tally.end(nowMs, Math.max(0, nowMs - tallyDueMs));
         tallyDueMs = Math.max(tallyDueMs + TALLY_MS, nowMs);
         if (second != null) {
@@ -552,7 +552,7 @@
         String counts = dispatcher.counters().report();
         if (counts != null) {
             log.line(counts + "; connections: " + server.connections() + " from the client, " + pool.open()
-                    + " to upstreams, " + pool.opened() + " opened and " + pool.spoilt() + " spoilt answers so far; "
+                    + " to upstreams, " + pool.opened() + " opened and " + pool.malformedAnswers() + " spoilt answers so far; "
                     + server.evicted()
                     + " of the client's closed as idle and " + server.turnedAway() + " requests refused for want of"
                     + " descriptors or, when ending, of connections so far");
@@ -606,7 +606,7 @@
             drain.finishAfter(drainTimes.stopServingMs(), () -> finished(0));
         } else {
             drain.after(0, "accepting no more", server::stopListening);
-            drain.after(0, "closing idle connections to upstreams", pool::keepNoneIdle);
+            drain.after(0, "closing idle connections to upstreams", pool::disableIdleConnections);
             drain.after(0, "ending connections with their answers", server::drain);
             double closeIdleMs = clock.nowMs() + (double) drainTimes.stopServingMs();
             drain.finishAfter(0, () -> finished(closeIdleMs));
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -75,8 +75,8 @@
     private final IdleConnections idle = new IdleConnections();
     private Tally tally = Tally.NONE;
     private EventLoopStallDetector stallDetector = EventLoopStallDetector.NEVER;
-    private boolean keepsNoneIdle;
-    private long spoilt;
+    private boolean idleDisabled;
+    private long malformedAnswers;
 
     /** {@code base} says what kind of channels to open, and with which options. */
     public UpstreamPool(
@@ -117,13 +117,13 @@
     }
 
     /** Tells what is idle now. */
-    public void countIdle() {
+    public void reportIdle() {
         idle.countEach((node, count) -> tally.idle(node.host, count));
     }
 
     /** Notes an answer that is none, for the next report. */
     void spoilt(Node node, String how) {
-        spoilt++;
+        malformedAnswers++;
         log.line("an answer of " + node + " " + how + ": failed, and its connection closed");
     }
 
@@ -134,8 +134,8 @@
     }
 
     /** Spoilt answers since the start. */
-    public long spoilt() {
-        return spoilt;
+    public long malformedAnswers() {
+        return malformedAnswers;
     }
 
     void took(Stage stage, double ms) {
@@ -318,7 +318,7 @@
 
     /** Keeps a connection that nothing needs at the moment for the next request. */
     void keep(UpstreamConnection connection) {
-        if (keepsNoneIdle || !isOfUse(connection)) {
+        if (idleDisabled || !isOfUse(connection)) {
             connection.close();
         } else {
             idle.add(connection);
@@ -335,8 +335,8 @@
     }
 
     /** From now on a connection is closed when it is free: another process needs the descriptors. */
-    public void keepNoneIdle() {
-        keepsNoneIdle = true;
+    public void disableIdleConnections() {
+        idleDisabled = true;
         closeAllIdle();
     }
 
--- a/src/test/java/ivybank/rehearsal/MutantsTest.java
+++ b/src/test/java/ivybank/rehearsal/MutantsTest.java
@@ -279,8 +279,8 @@
                     List.of("connections were opened"),
                     List.of(new Edit(
                             "upstream/UpstreamPool.java",
-                            "keepsNoneIdle || !isOfUse(connection)",
-                            "keepsNoneIdle || isOfUse(connection)"))),
+                            "idleDisabled || !isOfUse(connection)",
+                            "idleDisabled || isOfUse(connection)"))),
             new Mutant(
                     "leaks memory",
                     Night.CALM,
