--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -141,11 +141,11 @@
 
     private void count(Exchange exchange, Node node, double nowMs, boolean first, boolean atOnce) {
         if (first && !exchange.request.arriving()) {
-            tally.took(atOnce ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
+            tally.stageCompleted(atOnce ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
         }
         double startedMs = node.startedMs();
         double ageMs = startedMs <= 0 ? Double.POSITIVE_INFINITY : nowMs - startedMs;
-        tally.sent(node.host, Tally.Age.of(ageMs, settings.contract().coldMs()));
+        tally.attemptSent(node.host, Tally.Age.of(ageMs, settings.contract().coldMs()));
     }
 
     private void send(Exchange exchange, UpstreamAttempt attempt) {
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -202,7 +202,7 @@
         openIds.add(request.callId());
         unanswered++;
         counters.taken++;
-        tally.taken();
+        tally.requestTaken();
         // The module goes by when it was read: less time than others have is its sign of a repeat.
         double leftMs = arriving ? request.budgetMs() : request.arrivedMs() + request.budgetMs() - clock.nowMs();
         if (!arriving) {
@@ -303,7 +303,7 @@
             served();
             double endedMs = clock.nowMs();
             answer(exchange, Answer.served(ending.contentType(), ending.body()));
-            tally.took(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
+            tally.stageCompleted(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
         }
         Node node = exchange.attempts.get(number).node;
         events.tell(() -> balancer.attemptEnded(
@@ -321,15 +321,15 @@
 
     private void tally(Node node, Outcome outcome) {
         if (outcome == Outcome.REJECTED) {
-            tally.turnedAway(node.host);
+            tally.attemptRejected(node.host);
         } else if (outcome == Outcome.TIMEOUT) {
-            tally.timedOut(node.host);
+            tally.attemptTimedOut(node.host);
         }
     }
 
     private void served() {
         counters.served++;
-        tally.served();
+        tally.requestServed();
     }
 
     @Override
@@ -353,7 +353,7 @@
 
     private void close(Exchange exchange) {
         exchange.over = true;
-        tally.answered();
+        tally.requestCompleted();
         exchange.stopBackstop();
         unanswered--;
         openIds.remove(exchange.request.callId());
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -173,7 +173,7 @@
         if (state == State.STOPPED) {
             return;
         }
-        tally.called();
+        tally.discoveryCalled();
         DiscoveryCall call =
                 new DiscoveryCall(this, timing, clock, silent, timing.asksForAll(silent) ? -1 : seq, newest);
         current = call;
@@ -308,7 +308,7 @@
         private void ended(boolean here, String why) {
             if (call == current) {
                 lease.ended(clock.nowMs(), here);
-                tally.callFailed("ended");
+                tally.discoveryCallFailed("ended");
                 logEnd(why);
                 lost(why);
             }
@@ -436,7 +436,7 @@
 
     @Override
     public void refused(int status) {
-        tally.callFailed(Integer.toString(status));
+        tally.discoveryCallFailed(Integer.toString(status));
     }
 
     @Override
@@ -492,7 +492,7 @@
     public void take(DiscoveryCall call, HostUpdate update, boolean behind) {
         boolean moved = call.firstSinceMove;
         call.firstSinceMove = false;
-        tally.listed(update.seq());
+        tally.listUpdated(update.seq());
         if (call == current) {
             seq = -1; // until it has been taken over: an update that fails there must come again
         }
--- a/src/main/java/ivybank/tally/SecondTally.java
+++ b/src/main/java/ivybank/tally/SecondTally.java
@@ -60,73 +60,73 @@
     }
 
     @Override
-    public void begun(String node) {
+    public void connectionStarted(String node) {
         of(node).begun++;
     }
 
     @Override
-    public void held(String node, int change) {
+    public void connectionsHeld(String node, int change) {
         of(node).held += change;
     }
 
     @Override
-    public void idle(String node, int count) {
+    public void connectionsIdle(String node, int count) {
         of(node).idle += count;
     }
 
     @Override
-    public void notUp(String node) {
+    public void connectionFailed(String node) {
         of(node).notUp++;
     }
 
     @Override
-    public void sent(String node, Age age) {
+    public void attemptSent(String node, Age age) {
         of(node).sent[age.ordinal()]++;
     }
 
     @Override
-    public void turnedAway(String node) {
+    public void attemptRejected(String node) {
         of(node).turnedAway++;
     }
 
     @Override
-    public void timedOut(String node) {
+    public void attemptTimedOut(String node) {
         of(node).timedOut++;
     }
 
     @Override
-    public void taken() {
+    public void requestTaken() {
         taken++;
     }
 
     @Override
-    public void answered() {
+    public void requestCompleted() {
         answered++;
     }
 
     @Override
-    public void served() {
+    public void requestServed() {
         served++;
     }
 
     @Override
-    public void took(Stage stage, double ms) {
+    public void stageCompleted(Stage stage, double ms) {
         stages.record(stage, ms);
     }
 
     @Override
-    public void called() {
+    public void discoveryCalled() {
         calls++;
     }
 
     @Override
-    public void callFailed(String how) {
+    public void discoveryCallFailed(String how) {
         String word = callsFailed.size() < MOST_WAYS_TO_FAIL || callsFailed.containsKey(how) ? how : "other";
         callsFailed.merge(word, 1, Integer::sum);
     }
 
     @Override
-    public void listed(long to) {
+    public void listUpdated(long to) {
         version = to;
     }
 
--- a/src/main/java/ivybank/tally/Tally.java
+++ b/src/main/java/ivybank/tally/Tally.java
@@ -28,44 +28,44 @@
     }
 
     /** A connection to a node was begun. */
-    default void begun(String node) {}
+    default void connectionStarted(String node) {}
 
     /** One came up, or one that had come up has ended. */
-    default void held(String node, int change) {}
+    default void connectionsHeld(String node, int change) {}
 
     /** So many are idle at the end of the second. */
-    default void idle(String node, int count) {}
+    default void connectionsIdle(String node, int count) {}
 
     /** One was refused, never came up, or broke before it was of use. */
-    default void notUp(String node) {}
+    default void connectionFailed(String node) {}
 
     /** An attempt was sent. */
-    default void sent(String node, Age age) {}
+    default void attemptSent(String node, Age age) {}
 
     /** An attempt was turned away unseen. */
-    default void turnedAway(String node) {}
+    default void attemptRejected(String node) {}
 
     /** An attempt got no answer in its time. */
-    default void timedOut(String node) {}
+    default void attemptTimedOut(String node) {}
 
     /** A client's request was taken. */
-    default void taken() {}
+    default void requestTaken() {}
 
     /** A client's request is over: it has its final answer, or its client has left. */
-    default void answered() {}
+    default void requestCompleted() {}
 
     /** One of those was served. */
-    default void served() {}
+    default void requestServed() {}
 
     /** A request, or an attempt of one, took so long in a stage. */
-    default void took(Stage stage, double ms) {}
+    default void stageCompleted(Stage stage, double ms) {}
 
     /** Discovery was called. */
-    default void called() {}
+    default void discoveryCalled() {}
 
     /** A call to discovery has ended without what was asked for; {@code how} is a word, such as a status. */
-    default void callFailed(String how) {}
+    default void discoveryCallFailed(String how) {}
 
     /** A list, or a change of it, was taken over, up to this version. */
-    default void listed(long version) {}
+    default void listUpdated(long version) {}
 }
--- a/src/main/java/ivybank/upstream/ConnectionOpener.java
+++ b/src/main/java/ivybank/upstream/ConnectionOpener.java
@@ -126,7 +126,7 @@
         @Override
         public void failed(Throwable cause, boolean local) {
             ended(upstream);
-            tally.notUp(upstream.node.host);
+            tally.connectionFailed(upstream.node.host);
             pool.notUp(upstream.node, cause, local);
             receiver.accept(null);
         }
@@ -167,8 +167,8 @@
         if (connection.spare) {
             spares.merge(connection.node, 1, Integer::sum);
         }
-        tally.begun(connection.node.host);
-        tally.held(connection.node.host, 1);
+        tally.connectionStarted(connection.node.host);
+        tally.connectionsHeld(connection.node.host, 1);
     }
 
     /** Gives back what it has taken, once. */
@@ -180,7 +180,7 @@
         if (connection.spare) {
             spares.computeIfPresent(connection.node, (node, count) -> count == 1 ? null : count - 1);
         }
-        tally.held(connection.node.host, -1);
+        tally.connectionsHeld(connection.node.host, -1);
         pool.ended(connection);
     }
 }
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -118,7 +118,7 @@
 
     /** Tells what is idle now. */
     public void reportIdle() {
-        idle.countEach((node, count) -> tally.idle(node.host, count));
+        idle.countEach((node, count) -> tally.connectionsIdle(node.host, count));
     }
 
     /** Notes an answer that is none, for the next report. */
@@ -139,7 +139,7 @@
     }
 
     void took(Stage stage, double ms) {
-        tally.took(stage, ms);
+        tally.stageCompleted(stage, ms);
     }
 
     double stallMs() {
--- a/src/test/java/ivybank/tally/FleetSumTest.java
+++ b/src/test/java/ivybank/tally/FleetSumTest.java
@@ -27,15 +27,15 @@
             StringBuilder log = new StringBuilder("listening\n");
             for (int second = 1; second <= 3; second++) {
                 for (int n = 0; n < (second == 2 ? begun : 0); n++) {
-                    tally.begun("back");
-                    tally.sent("back", Tally.Age.JUST_BACK);
+                    tally.connectionStarted("back");
+                    tally.attemptSent("back", Tally.Age.JUST_BACK);
                 }
-                tally.taken();
-                tally.sent("other-" + i, Tally.Age.WARM);
-                tally.served();
-                tally.answered();
-                tally.called();
-                tally.listed(second < 3 ? 7 : 8);
+                tally.requestTaken();
+                tally.attemptSent("other-" + i, Tally.Age.WARM);
+                tally.requestServed();
+                tally.requestCompleted();
+                tally.discoveryCalled();
+                tally.listUpdated(second < 3 ? 7 : 8);
                 log.append(0.1 * second)
                         .append(' ')
                         .append(tally.end(START_MS + 1000 * second + 5 * i, i).line())
@@ -58,11 +58,11 @@
         sum.begin("n0");
         SecondTally tally = new SecondTally();
         for (int second = 1; second <= 16; second++) {
-            tally.taken();
+            tally.requestTaken();
             if (second != 7 && second != 8) {
-                tally.served();
+                tally.requestServed();
             }
-            tally.answered();
+            tally.requestCompleted();
             sum.line(tally.end(START_MS + 1000 * second + 100, 0).line());
         }
         assertEquals(2, sum.toFullService(START_MS / 1000 + 7));
--- a/src/test/java/ivybank/tally/SecondTallyTest.java
+++ b/src/test/java/ivybank/tally/SecondTallyTest.java
@@ -13,21 +13,21 @@
 
     @Test
     void aLineSaysWhatHappenedAndIsReadBackAsItWas() {
-        tally.taken();
-        tally.taken();
-        tally.answered();
-        tally.served();
-        tally.called();
-        tally.callFailed("503");
-        tally.listed(41);
-        tally.begun("s-1");
-        tally.held("s-1", 1);
-        tally.sent("s-1", Tally.Age.JUST_BACK);
-        tally.sent("s-2", Tally.Age.of(3000, 15_000));
-        tally.sent("s-2", Tally.Age.of(Double.POSITIVE_INFINITY, 15_000));
-        tally.turnedAway("s-2");
-        tally.timedOut("s-2");
-        tally.notUp("s-3");
+        tally.requestTaken();
+        tally.requestTaken();
+        tally.requestCompleted();
+        tally.requestServed();
+        tally.discoveryCalled();
+        tally.discoveryCallFailed("503");
+        tally.listUpdated(41);
+        tally.connectionStarted("s-1");
+        tally.connectionsHeld("s-1", 1);
+        tally.attemptSent("s-1", Tally.Age.JUST_BACK);
+        tally.attemptSent("s-2", Tally.Age.of(3000, 15_000));
+        tally.attemptSent("s-2", Tally.Age.of(Double.POSITIVE_INFINITY, 15_000));
+        tally.attemptRejected("s-2");
+        tally.attemptTimedOut("s-2");
+        tally.connectionFailed("s-3");
         Second second = tally.end(1_800_000_000_500.0, 7);
         assertEquals(
                 new Second.OfNode(1, 1, 0, 0, 1, 0, 0, 0, 0), second.nodes().get("s-1"));
@@ -39,13 +39,13 @@
 
     @Test
     void theTimesOfStagesAreReadBackAndBeginAnew() {
-        tally.taken();
+        tally.requestTaken();
         for (int i = 0; i < 99; i++) {
-            tally.took(Stage.REUSE, 0.05);
+            tally.stageCompleted(Stage.REUSE, 0.05);
         }
-        tally.took(Stage.REUSE, 30);
-        tally.took(Stage.REST, Double.MAX_VALUE);
-        tally.took(Stage.REST, -1);
+        tally.stageCompleted(Stage.REUSE, 30);
+        tally.stageCompleted(Stage.REST, Double.MAX_VALUE);
+        tally.stageCompleted(Stage.REST, -1);
         Second second = tally.end(1000, 0);
         assertEquals(second, Second.parse(second.line()), second.line());
         StageTimes times = new StageTimes();
@@ -55,16 +55,16 @@
         assertEquals(30, times.percentileMs(Stage.REUSE, 100), 3);
         assertEquals(60_000, times.percentileMs(Stage.REST, 100), 6000);
         assertEquals(0, times.percentileMs(Stage.REST, 1));
-        tally.taken();
+        tally.requestTaken();
         assertTrue(tally.end(2000, 0).stages().isEmpty());
     }
 
     @Test
     void aLineHasABoundHoweverManyDifferentTimesThereAre() {
         for (int micros = 0; micros < 1_000_000; micros++) {
-            tally.took(Stage.FIRST_BYTE, micros / 1000.0);
+            tally.stageCompleted(Stage.FIRST_BYTE, micros / 1000.0);
         }
-        tally.taken();
+        tally.requestTaken();
         Second second = tally.end(1000, 0);
         assertTrue(second.stages().get(Stage.FIRST_BYTE).size() <= 8 * 20, second.line());
         assertEquals(
@@ -88,22 +88,22 @@
 
     @Test
     void whatIsHeldGoesOnAndCountsBeginAnew() {
-        tally.begun("s-1");
-        tally.held("s-1", 1);
+        tally.connectionStarted("s-1");
+        tally.connectionsHeld("s-1", 1);
         tally.end(1000, 0);
         assertEquals(
                 new Second.OfNode(0, 1, 0, 0, 0, 0, 0, 0, 0),
                 tally.end(2000, 0).nodes().get("s-1"));
-        tally.held("s-1", -1);
+        tally.connectionsHeld("s-1", -1);
         assertNull(tally.end(3000, 0), "nothing left, nothing said");
     }
 
     @Test
     void aLineHasABoundHoweverManyNodesThereAreAndTheSumIsKept() {
         for (int node = 0; node < 5000; node++) {
-            tally.sent("node-" + node, Tally.Age.WARM);
+            tally.attemptSent("node-" + node, Tally.Age.WARM);
         }
-        tally.sent("node-4999", Tally.Age.WARM);
+        tally.attemptSent("node-4999", Tally.Age.WARM);
         Second second = tally.end(1000, 0);
         assertEquals(SecondTally.MOST_NODES, second.nodes().size());
         assertEquals(
@@ -111,7 +111,7 @@
                 second.nodes().values().stream().mapToInt(Second.OfNode::sent).sum());
         assertEquals(2, second.nodes().get("node-4999").sent(), "the busiest have a place of their own");
         for (int node = 0; node < 5000; node++) {
-            tally.sent("other-" + node, Tally.Age.WARM);
+            tally.attemptSent("other-" + node, Tally.Age.WARM);
             tally.end(2000 + node, 0);
         }
         assertNull(tally.end(9000, 0), "nodes that have gone are not kept");
@@ -120,7 +120,7 @@
     @Test
     void namesFromOutsideCanNotBreakTheLine() {
         String name = "a b=c,d/e\n* " + "x".repeat(500);
-        tally.sent(name, Tally.Age.WARM);
+        tally.attemptSent(name, Tally.Age.WARM);
         Second second = tally.end(1000, 0);
         assertEquals(1, second.line().lines().count());
         assertEquals(second, Second.parse(second.line()));
@@ -129,7 +129,7 @@
     @Test
     void waysToFailThatDiscoveryMakesUpAreBounded() {
         for (int status = 0; status < 900; status++) {
-            tally.callFailed(Integer.toString(status));
+            tally.discoveryCallFailed(Integer.toString(status));
         }
         Second second = tally.end(1000, 0);
         assertTrue(second.callsFailed().size() <= 9, second.callsFailed().toString());
@@ -140,7 +140,7 @@
 
     @Test
     void aLineThatWasCutIsTold() {
-        tally.sent("s-1", Tally.Age.WARM);
+        tally.attemptSent("s-1", Tally.Age.WARM);
         String line = tally.end(1000, 0).line();
         assertNull(Second.parse("discovery answers again"));
         assertThrows(IllegalArgumentException.class, () -> Second.parse(line.substring(0, line.length() - 4)));
--- a/src/test/java/ivybank/upstream/ConnectionReuseTest.java
+++ b/src/test/java/ivybank/upstream/ConnectionReuseTest.java
@@ -137,7 +137,7 @@
         pool = poolWithSpares(100, 200, 0);
         pool.setTally(new Tally() {
             @Override
-            public void took(Stage stage, double ms) {
+            public void stageCompleted(Stage stage, double ms) {
                 took.computeIfAbsent(stage, unseen -> new CopyOnWriteArrayList<>())
                         .add(ms);
             }
