--- a/src/main/java/ivybank/cli/FleetCommand.java
+++ b/src/main/java/ivybank/cli/FleetCommand.java
@@ -65,7 +65,7 @@
             Map<String, Double> figures = new LinkedHashMap<>();
             sum.figures().forEach(figure -> figures.put(figure.name(), figure.value()));
             all.put("figures", figures);
-            all.put("left out", sum.leftOut());
+            all.put("left out", sum.skippedLines());
             if (faults != null) {
                 Map<String, String> full = new LinkedHashMap<>();
                 faults.forEach(fault ->
@@ -89,8 +89,8 @@
         }
         System.out.println("\nnodes with the most attempts timed out:");
         sum.mostTimedOut(WORST_NODES).forEach(System.out::println);
-        if (sum.leftOut() > 0) {
-            System.out.println(sum.leftOut() + " lines were damaged or of another time and are left out");
+        if (sum.skippedLines() > 0) {
+            System.out.println(sum.skippedLines() + " lines were damaged or of another time and are left out");
         }
         if (before != null) {
             System.out.println("\nout of proportion against " + other + ":");
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -39,7 +39,7 @@
 import ivybank.supervision.PeriodicTask;
 import ivybank.supervision.StartRetry;
 import ivybank.supervision.Watchdog;
-import ivybank.tally.Second;
+import ivybank.tally.SecondCounts;
 import ivybank.tally.SecondTally;
 import ivybank.toml.InputException;
 import ivybank.upstream.LoadReport;
@@ -541,7 +541,7 @@
     private void tally() {
         double nowMs = clock.nowMs();
         pool.reportIdle();
-        Second second = tally.end(nowMs, Math.max(0, nowMs - tallyDueMs));
+        SecondCounts second = tally.endSecond(nowMs, Math.max(0, nowMs - tallyDueMs));
         tallyDueMs = Math.max(tallyDueMs + TALLY_MS, nowMs);
         if (second != null) {
             log.line(second.line() + " violations=" + guard.takeViolations() + (peers == null ? "" : peers.tally()));
--- a/src/main/java/ivybank/scale/worker/HollowSidecar.java
+++ b/src/main/java/ivybank/scale/worker/HollowSidecar.java
@@ -65,7 +65,7 @@
 
     /** Ends the second of the counts, as a sidecar does. On the event loop. */
     void endSecond() {
-        tally.end(clock.nowMs(), 0);
+        tally.endSecond(clock.nowMs(), 0);
     }
 
     private void update(HostUpdate update) {
--- a/src/main/java/ivybank/tally/FleetSum.java
+++ b/src/main/java/ivybank/tally/FleetSum.java
@@ -39,12 +39,12 @@
         private int members;
         private int full;
         private int told;
-        private Second.OfNode all = Second.OfNode.NOTHING;
+        private SecondCounts.NodeCounts all = SecondCounts.NodeCounts.ZERO;
         private final Map<String, Integer> callsFailed = new TreeMap<>();
         private final Map<String, Integer> givenUp = new TreeMap<>();
-        private final Map<String, Second.OfNode> nodes = new TreeMap<>();
+        private final Map<String, SecondCounts.NodeCounts> nodes = new TreeMap<>();
 
-        private void add(Second second) {
+        private void add(SecondCounts second) {
             sidecars++;
             taken += second.taken();
             served += second.served();
@@ -53,15 +53,15 @@
             mostLateMs = Math.max(mostLateMs, second.lateMs());
             second.callsFailed().forEach((how, count) -> callsFailed.merge(how, count, Integer::sum));
             second.nodes().forEach((name, node) -> {
-                nodes.merge(name, node, Second.OfNode::plus);
+                nodes.merge(name, node, SecondCounts.NodeCounts::plus);
                 all = all.plus(node);
             });
         }
 
         /** The most of a figure at one node; what has no place of its own is no node. */
-        int most(ToIntFunction<Second.OfNode> figure) {
+        int most(ToIntFunction<SecondCounts.NodeCounts> figure) {
             return nodes.entrySet().stream()
-                    .filter(entry -> !entry.getKey().equals(Second.OTHERS))
+                    .filter(entry -> !entry.getKey().equals(SecondCounts.OTHERS))
                     .mapToInt(entry -> figure.applyAsInt(entry.getValue()))
                     .max()
                     .orElse(0);
@@ -75,7 +75,7 @@
             return served;
         }
 
-        public Second.OfNode all() {
+        public SecondCounts.NodeCounts all() {
             return all;
         }
     }
@@ -111,7 +111,7 @@
             return;
         }
         try {
-            Second second = Second.parse(text);
+            SecondCounts second = SecondCounts.parse(text);
             if (second != null) {
                 add(second);
             }
@@ -120,7 +120,7 @@
         }
     }
 
-    private void add(Second second) {
+    private void add(SecondCounts second) {
         long at = (long) Math.floor(second.atMs() / 1000);
         if (!seconds.isEmpty() && Math.abs(at - seconds.keySet().iterator().next()) > MOST_SECONDS) {
             strayed++;
@@ -157,7 +157,7 @@
     }
 
     /** Lines that were cut or damaged, and seconds that lie too far from the others. */
-    public int leftOut() {
+    public int skippedLines() {
         return unreadable + strayed;
     }
 
@@ -173,13 +173,13 @@
     public List<Figure> figures() {
         double requests =
                 Math.max(1, seconds.values().stream().mapToInt(InSecond::taken).sum());
-        Second.OfNode all =
-                seconds.values().stream().map(InSecond::all).reduce(Second.OfNode.NOTHING, Second.OfNode::plus);
+        SecondCounts.NodeCounts all =
+                seconds.values().stream().map(InSecond::all).reduce(SecondCounts.NodeCounts.ZERO, SecondCounts.NodeCounts::plus);
         List<Figure> figures = new ArrayList<>();
         figures.add(new Figure("sidecars", sidecars.size()));
         figures.add(new Figure(
                 "nodes",
-                nodes.stream().filter(name -> !name.equals(Second.OTHERS)).count()));
+                nodes.stream().filter(name -> !name.equals(SecondCounts.OTHERS)).count()));
         figures.add(new Figure("seconds", seconds.size()));
         figures.add(new Figure("requests taken", requests));
         figures.add(new Figure(
@@ -190,10 +190,10 @@
         figures.add(new Figure("connections not come up, for each request", all.notUp() / requests));
         figures.add(new Figure("attempts timed out, for each request", all.timedOut() / requests));
         figures.add(new Figure("attempts turned away, for each request", all.turnedAway() / requests));
-        figures.add(new Figure("connections begun at one node in its worst second", worst(Second.OfNode::begun)));
-        figures.add(new Figure("connections held at one node at most", worst(Second.OfNode::held)));
-        figures.add(new Figure("attempts at one node just back in its worst second", worst(Second.OfNode::justBack)));
-        figures.add(new Figure("attempts at one cold node in its worst second", worst(Second.OfNode::cold)));
+        figures.add(new Figure("connections begun at one node in its worst second", worst(SecondCounts.NodeCounts::begun)));
+        figures.add(new Figure("connections held at one node at most", worst(SecondCounts.NodeCounts::held)));
+        figures.add(new Figure("attempts at one node just back in its worst second", worst(SecondCounts.NodeCounts::justBack)));
+        figures.add(new Figure("attempts at one cold node in its worst second", worst(SecondCounts.NodeCounts::cold)));
         figures.add(new Figure(
                 "calls to discovery in the worst second",
                 seconds.values().stream().mapToInt(s -> s.calls).max().orElse(0)));
@@ -255,7 +255,7 @@
                 faultS - first);
     }
 
-    private double worst(ToIntFunction<Second.OfNode> figure) {
+    private double worst(ToIntFunction<SecondCounts.NodeCounts> figure) {
         return seconds.values().stream()
                 .mapToInt(second -> second.most(figure))
                 .max()
@@ -326,8 +326,8 @@
                 s.all.begun(),
                 s.all.held(),
                 s.all.idle(),
-                s.most(Second.OfNode::begun),
-                s.most(Second.OfNode::held),
+                s.most(SecondCounts.NodeCounts::begun),
+                s.most(SecondCounts.NodeCounts::held),
                 s.mostLateMs,
                 s.calls,
                 s.givenUp,
@@ -365,11 +365,11 @@
 
     /** The nodes with the most attempts timed out: a line each. */
     public List<String> mostTimedOut(int most) {
-        Map<String, Second.OfNode> whole = new TreeMap<>();
+        Map<String, SecondCounts.NodeCounts> whole = new TreeMap<>();
         seconds.values()
-                .forEach(second -> second.nodes.forEach((name, node) -> whole.merge(name, node, Second.OfNode::plus)));
+                .forEach(second -> second.nodes.forEach((name, node) -> whole.merge(name, node, SecondCounts.NodeCounts::plus)));
         return whole.entrySet().stream()
-                .sorted(Comparator.comparingInt((Map.Entry<String, Second.OfNode> entry) ->
+                .sorted(Comparator.comparingInt((Map.Entry<String, SecondCounts.NodeCounts> entry) ->
                                 -entry.getValue().timedOut())
                         .thenComparing(Map.Entry::getKey))
                 .limit(most)
--- a/src/main/java/ivybank/tally/Second.java
+++ b/src/main/java/ivybank/tally/SecondCounts.java
@@ -20,7 +20,7 @@
  * @param nodes by name; at most {@link SecondTally#MOST_NODES}, the rest as one under {@link #OTHERS}
  * @param stages how many took so many microseconds, in steps of an eighth or less
  */
-public record Second(
+public record SecondCounts(
         double atMs,
         double lateMs,
         long version,
@@ -29,7 +29,7 @@
         int notServed,
         int calls,
         Map<String, Integer> callsFailed,
-        Map<String, OfNode> nodes,
+        Map<String, NodeCounts> nodes,
         Map<Stage, Map<Long, Long>> stages) {
 
     /** The name of all nodes that had no place of their own. */
@@ -40,10 +40,10 @@
     private static final String STAGE = "stage:";
 
     /** Of one node: connections begun, held and idle at the end, not come up; attempts by its age, turned away, timed out. */
-    public record OfNode(
+    public record NodeCounts(
             int begun, int held, int idle, int notUp, int justBack, int cold, int warm, int turnedAway, int timedOut) {
 
-        static final OfNode NOTHING = new OfNode(0, 0, 0, 0, 0, 0, 0, 0, 0);
+        static final NodeCounts ZERO = new NodeCounts(0, 0, 0, 0, 0, 0, 0, 0, 0);
         private static final int FIGURES = 9;
 
         int sent() {
@@ -51,11 +51,11 @@
         }
 
         boolean isNothing() {
-            return equals(NOTHING);
+            return equals(ZERO);
         }
 
-        OfNode plus(OfNode other) {
-            return new OfNode(
+        NodeCounts plus(NodeCounts other) {
+            return new NodeCounts(
                     begun + other.begun,
                     held + other.held,
                     idle + other.idle,
@@ -72,7 +72,7 @@
                     + turnedAway + "," + timedOut;
         }
 
-        private static OfNode parse(String text) {
+        private static NodeCounts parse(String text) {
             String[] parts = text.split(",", -1);
             if (parts.length != FIGURES) {
                 throw new IllegalArgumentException("a node has " + FIGURES + " figures, not '" + text + "'");
@@ -81,11 +81,11 @@
             for (int i = 0; i < FIGURES; i++) {
                 n[i] = Integer.parseInt(parts[i]);
             }
-            return new OfNode(n[0], n[1], n[2], n[3], n[4], n[5], n[6], n[7], n[8]);
+            return new NodeCounts(n[0], n[1], n[2], n[3], n[4], n[5], n[6], n[7], n[8]);
         }
     }
 
-    public Second {
+    public SecondCounts {
         callsFailed = Map.copyOf(callsFailed);
         nodes = Map.copyOf(nodes);
         stages = stages.isEmpty() ? Map.of() : Collections.unmodifiableMap(new EnumMap<>(stages));
@@ -153,14 +153,14 @@
      *
      * @throws IllegalArgumentException where it is one and can't be read
      */
-    public static Second parse(String line) {
+    public static SecondCounts parse(String line) {
         int from = line.indexOf(WORD + " at=");
         if (from < 0 || from > 0 && line.charAt(from - 1) != ' ') {
             return null;
         }
         Map<String, String> fields = new LinkedHashMap<>();
         Map<String, Integer> failed = new LinkedHashMap<>();
-        Map<String, OfNode> nodes = new LinkedHashMap<>();
+        Map<String, NodeCounts> nodes = new LinkedHashMap<>();
         Map<Stage, Map<Long, Long>> stages = new EnumMap<>(Stage.class);
         List<String> words = new ArrayList<>(
                 List.of(line.substring(from + WORD.length()).trim().split(" ")));
@@ -172,7 +172,7 @@
             String name = word.substring(0, equals);
             String value = word.substring(equals + 1);
             if (name.startsWith("/")) {
-                nodes.merge(name.substring(1), OfNode.parse(value), OfNode::plus);
+                nodes.merge(name.substring(1), NodeCounts.parse(value), NodeCounts::plus);
             } else if (name.startsWith(STAGE)) {
                 addStage(stages, name.substring(STAGE.length()), value);
             } else if (name.startsWith("failed:")) {
@@ -181,7 +181,7 @@
                 fields.put(name, value);
             }
         }
-        return new Second(
+        return new SecondCounts(
                 number(fields, "at"),
                 number(fields, "late"),
                 number(fields, "list"),
--- a/src/main/java/ivybank/tally/SecondTally.java
+++ b/src/main/java/ivybank/tally/SecondTally.java
@@ -27,8 +27,8 @@
         int turnedAway;
         int timedOut;
 
-        Second.OfNode figures() {
-            return new Second.OfNode(begun, held, idle, notUp, sent[0], sent[1], sent[2], turnedAway, timedOut);
+        SecondCounts.NodeCounts figures() {
+            return new SecondCounts.NodeCounts(begun, held, idle, notUp, sent[0], sent[1], sent[2], turnedAway, timedOut);
         }
 
         /** Begins anew, and tells whether there is nothing left to keep. */
@@ -135,18 +135,18 @@
      *
      * @return null where nothing has happened in it
      */
-    public Second end(double nowMs, double lateMs) {
-        Map<String, Second.OfNode> figures = new HashMap<>();
+    public SecondCounts endSecond(double nowMs, double lateMs) {
+        Map<String, SecondCounts.NodeCounts> figures = new HashMap<>();
         nodes.forEach((name, counts) -> {
-            Second.OfNode node = counts.figures();
+            SecondCounts.NodeCounts node = counts.figures();
             if (!node.isNothing()) {
-                figures.merge(clean(name), node, Second.OfNode::plus);
+                figures.merge(clean(name), node, SecondCounts.NodeCounts::plus);
             }
         });
         boolean quiet = figures.isEmpty() && taken + answered + calls == 0 && callsFailed.isEmpty() && version == told;
-        Second second = quiet
+        SecondCounts second = quiet
                 ? null
-                : new Second(
+                : new SecondCounts(
                         nowMs,
                         lateMs,
                         version,
@@ -168,21 +168,21 @@
         return second;
     }
 
-    private static Map<String, Second.OfNode> bounded(Map<String, Second.OfNode> figures) {
+    private static Map<String, SecondCounts.NodeCounts> bounded(Map<String, SecondCounts.NodeCounts> figures) {
         if (figures.size() <= MOST_NODES) {
             return figures;
         }
-        List<Map.Entry<String, Second.OfNode>> busiest = figures.entrySet().stream()
-                .sorted(Comparator.comparingInt((Map.Entry<String, Second.OfNode> entry) ->
+        List<Map.Entry<String, SecondCounts.NodeCounts>> busiest = figures.entrySet().stream()
+                .sorted(Comparator.comparingInt((Map.Entry<String, SecondCounts.NodeCounts> entry) ->
                                 -entry.getValue().sent() - entry.getValue().begun())
                         .thenComparing(Map.Entry::getKey))
                 .toList();
-        Map<String, Second.OfNode> kept = new HashMap<>();
+        Map<String, SecondCounts.NodeCounts> kept = new HashMap<>();
         for (int i = 0; i < busiest.size(); i++) {
             kept.merge(
-                    i < MOST_NODES - 1 ? busiest.get(i).getKey() : Second.OTHERS,
+                    i < MOST_NODES - 1 ? busiest.get(i).getKey() : SecondCounts.OTHERS,
                     busiest.get(i).getValue(),
-                    Second.OfNode::plus);
+                    SecondCounts.NodeCounts::plus);
         }
         return kept;
     }
--- a/src/test/java/ivybank/tally/FleetSumTest.java
+++ b/src/test/java/ivybank/tally/FleetSumTest.java
@@ -38,7 +38,7 @@
                 tally.listUpdated(second < 3 ? 7 : 8);
                 log.append(0.1 * second)
                         .append(' ')
-                        .append(tally.end(START_MS + 1000 * second + 5 * i, i).line())
+                        .append(tally.endSecond(START_MS + 1000 * second + 5 * i, i).line())
                         .append('\n');
                 log.append(
                         "given up within 1000 ms: {ROOM=2, ATTEMPTS=1}; admitting 90%; of 10 members 5 full, 0 cold, 1 set aside\n");
@@ -63,7 +63,7 @@
                 tally.requestServed();
             }
             tally.requestCompleted();
-            sum.line(tally.end(START_MS + 1000 * second + 100, 0).line());
+            sum.line(tally.endSecond(START_MS + 1000 * second + 100, 0).line());
         }
         assertEquals(2, sum.toFullService(START_MS / 1000 + 7));
         assertEquals(Double.NaN, sum.toFullService(START_MS / 1000), "nothing is known of before");
@@ -123,7 +123,7 @@
                         .getBytes(StandardCharsets.UTF_8));
         FleetSum sum = LogFolder.sum(folder);
         assertTrue(sum.seconds().size() <= 4, sum.seconds().keySet().toString());
-        assertTrue(sum.leftOut() > 0);
+        assertTrue(sum.skippedLines() > 0);
         Files.writeString(folder.resolve("empty.log"), "");
         Files.write(folder.resolve("noise.log"), new byte[] {0, 1, (byte) 0xc3, 10, (byte) 0xff});
         assertEquals(sum.sidecars(), LogFolder.sum(folder).sidecars());
--- a/src/test/java/ivybank/tally/SecondTallyTest.java
+++ b/src/test/java/ivybank/tally/SecondTallyTest.java
@@ -28,13 +28,13 @@
         tally.attemptRejected("s-2");
         tally.attemptTimedOut("s-2");
         tally.connectionFailed("s-3");
-        Second second = tally.end(1_800_000_000_500.0, 7);
+        SecondCounts second = tally.endSecond(1_800_000_000_500.0, 7);
         assertEquals(
-                new Second.OfNode(1, 1, 0, 0, 1, 0, 0, 0, 0), second.nodes().get("s-1"));
+                new SecondCounts.NodeCounts(1, 1, 0, 0, 1, 0, 0, 0, 0), second.nodes().get("s-1"));
         assertEquals(
-                new Second.OfNode(0, 0, 0, 0, 0, 1, 1, 1, 1), second.nodes().get("s-2"));
-        assertEquals(second, Second.parse(second.line()), second.line());
-        assertEquals(second, Second.parse("13.655 " + second.line()), "behind what a collector of logs puts before it");
+                new SecondCounts.NodeCounts(0, 0, 0, 0, 0, 1, 1, 1, 1), second.nodes().get("s-2"));
+        assertEquals(second, SecondCounts.parse(second.line()), second.line());
+        assertEquals(second, SecondCounts.parse("13.655 " + second.line()), "behind what a collector of logs puts before it");
     }
 
     @Test
@@ -46,17 +46,17 @@
         tally.stageCompleted(Stage.REUSE, 30);
         tally.stageCompleted(Stage.REST, Double.MAX_VALUE);
         tally.stageCompleted(Stage.REST, -1);
-        Second second = tally.end(1000, 0);
-        assertEquals(second, Second.parse(second.line()), second.line());
+        SecondCounts second = tally.endSecond(1000, 0);
+        assertEquals(second, SecondCounts.parse(second.line()), second.line());
         StageTimes times = new StageTimes();
-        times.add(Second.parse(second.line()).stages());
+        times.add(SecondCounts.parse(second.line()).stages());
         assertEquals(100, times.count(Stage.REUSE));
         assertEquals(0.05, times.percentileMs(Stage.REUSE, 50), 0.005);
         assertEquals(30, times.percentileMs(Stage.REUSE, 100), 3);
         assertEquals(60_000, times.percentileMs(Stage.REST, 100), 6000);
         assertEquals(0, times.percentileMs(Stage.REST, 1));
         tally.requestTaken();
-        assertTrue(tally.end(2000, 0).stages().isEmpty());
+        assertTrue(tally.endSecond(2000, 0).stages().isEmpty());
     }
 
     @Test
@@ -65,7 +65,7 @@
             tally.stageCompleted(Stage.FIRST_BYTE, micros / 1000.0);
         }
         tally.requestTaken();
-        Second second = tally.end(1000, 0);
+        SecondCounts second = tally.endSecond(1000, 0);
         assertTrue(second.stages().get(Stage.FIRST_BYTE).size() <= 8 * 20, second.line());
         assertEquals(
                 1_000_000,
@@ -77,12 +77,12 @@
     @Test
     void aLineOfAnEarlierVersionIsReadAndAStageOfALaterOnePassedOver() {
         String before = "tally at=1000 late=0 list=41 taken=2 served=1 not=0 calls=0";
-        assertEquals(2, Second.parse(before).taken());
-        assertTrue(Second.parse(before).stages().isEmpty());
-        assertTrue(Second.parse(before + " stage:of-tomorrow=5*1").stages().isEmpty());
+        assertEquals(2, SecondCounts.parse(before).taken());
+        assertTrue(SecondCounts.parse(before).stages().isEmpty());
+        assertTrue(SecondCounts.parse(before + " stage:of-tomorrow=5*1").stages().isEmpty());
         for (String damaged : new String[] {"5", "5*", "*1", "5*0", "-5*1", "5*1,", "x*1"}) {
             assertThrows(
-                    IllegalArgumentException.class, () -> Second.parse(before + " stage:rest=" + damaged), damaged);
+                    IllegalArgumentException.class, () -> SecondCounts.parse(before + " stage:rest=" + damaged), damaged);
         }
     }
 
@@ -90,12 +90,12 @@
     void whatIsHeldGoesOnAndCountsBeginAnew() {
         tally.connectionStarted("s-1");
         tally.connectionsHeld("s-1", 1);
-        tally.end(1000, 0);
+        tally.endSecond(1000, 0);
         assertEquals(
-                new Second.OfNode(0, 1, 0, 0, 0, 0, 0, 0, 0),
-                tally.end(2000, 0).nodes().get("s-1"));
+                new SecondCounts.NodeCounts(0, 1, 0, 0, 0, 0, 0, 0, 0),
+                tally.endSecond(2000, 0).nodes().get("s-1"));
         tally.connectionsHeld("s-1", -1);
-        assertNull(tally.end(3000, 0), "nothing left, nothing said");
+        assertNull(tally.endSecond(3000, 0), "nothing left, nothing said");
     }
 
     @Test
@@ -104,26 +104,26 @@
             tally.attemptSent("node-" + node, Tally.Age.WARM);
         }
         tally.attemptSent("node-4999", Tally.Age.WARM);
-        Second second = tally.end(1000, 0);
+        SecondCounts second = tally.endSecond(1000, 0);
         assertEquals(SecondTally.MOST_NODES, second.nodes().size());
         assertEquals(
                 5001,
-                second.nodes().values().stream().mapToInt(Second.OfNode::sent).sum());
+                second.nodes().values().stream().mapToInt(SecondCounts.NodeCounts::sent).sum());
         assertEquals(2, second.nodes().get("node-4999").sent(), "the busiest have a place of their own");
         for (int node = 0; node < 5000; node++) {
             tally.attemptSent("other-" + node, Tally.Age.WARM);
-            tally.end(2000 + node, 0);
+            tally.endSecond(2000 + node, 0);
         }
-        assertNull(tally.end(9000, 0), "nodes that have gone are not kept");
+        assertNull(tally.endSecond(9000, 0), "nodes that have gone are not kept");
     }
 
     @Test
     void namesFromOutsideCanNotBreakTheLine() {
         String name = "a b=c,d/e\n* " + "x".repeat(500);
         tally.attemptSent(name, Tally.Age.WARM);
-        Second second = tally.end(1000, 0);
+        SecondCounts second = tally.endSecond(1000, 0);
         assertEquals(1, second.line().lines().count());
-        assertEquals(second, Second.parse(second.line()));
+        assertEquals(second, SecondCounts.parse(second.line()));
     }
 
     @Test
@@ -131,7 +131,7 @@
         for (int status = 0; status < 900; status++) {
             tally.discoveryCallFailed(Integer.toString(status));
         }
-        Second second = tally.end(1000, 0);
+        SecondCounts second = tally.endSecond(1000, 0);
         assertTrue(second.callsFailed().size() <= 9, second.callsFailed().toString());
         assertEquals(
                 900,
@@ -141,10 +141,10 @@
     @Test
     void aLineThatWasCutIsTold() {
         tally.attemptSent("s-1", Tally.Age.WARM);
-        String line = tally.end(1000, 0).line();
-        assertNull(Second.parse("discovery answers again"));
-        assertThrows(IllegalArgumentException.class, () -> Second.parse(line.substring(0, line.length() - 4)));
-        assertThrows(IllegalArgumentException.class, () -> Second.parse(line.replace("taken=0", "taken=no")));
-        assertThrows(IllegalArgumentException.class, () -> Second.parse("tally at=5"));
+        String line = tally.endSecond(1000, 0).line();
+        assertNull(SecondCounts.parse("discovery answers again"));
+        assertThrows(IllegalArgumentException.class, () -> SecondCounts.parse(line.substring(0, line.length() - 4)));
+        assertThrows(IllegalArgumentException.class, () -> SecondCounts.parse(line.replace("taken=0", "taken=no")));
+        assertThrows(IllegalArgumentException.class, () -> SecondCounts.parse("tally at=5"));
     }
 }
