--- a/src/main/java/ivybank/concurrency/LatencyTracker.java
+++ b/src/main/java/ivybank/concurrency/LatencyTracker.java
@@ -1,7 +1,7 @@
 package ivybank.concurrency;
 
-import ivybank.handover.LearnedState;
 import ivybank.handover.Confidence;
+import ivybank.handover.LearnedState;
 
 /** The running median of the latencies of like requests, and what it was when the nodes were quiet; in milliseconds. */
 public class LatencyTracker {
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -78,7 +78,8 @@
     /** Takes over what the process before this one has left, if there is any; before this one serves. */
     void takeOver() {
         double nowMs = clock.machineMs();
-        Optional<HandoverSnapshot> newest = others().stream().max(Comparator.comparingDouble(HandoverSnapshot::writtenMs));
+        Optional<HandoverSnapshot> newest =
+                others().stream().max(Comparator.comparingDouble(HandoverSnapshot::writtenMs));
         newest.ifPresent(memory -> {
             log.line("taking over what another process has learned of "
                     + memory.learned().nodes().size() + " nodes, " + Math.round(nowMs - memory.writtenMs())
--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -55,10 +55,11 @@
             events.tell(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
         }
         LearnedState<String> rest = recalled.isEmpty() ? learned : learned.nodesOnly();
-        LearnedState<Integer> here = rest.withStarts(directory::startByLocalClockMs).withKeys(host -> {
-            Integer number = directory.number(host);
-            return number != null && recalled.add(number) ? number : null;
-        });
+        LearnedState<Integer> here = rest.withStarts(directory::startByLocalClockMs)
+                .withKeys(host -> {
+                    Integer number = directory.number(host);
+                    return number != null && recalled.add(number) ? number : null;
+                });
         events.tell(() -> balancer.recall(here, trust));
     }
 }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -11,8 +11,8 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.handover.LearnedState;
 import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.LearnedState;
 import ivybank.invariants.InvariantGuard;
 import ivybank.policy.Balancer;
 import ivybank.policy.Balancer.AttemptEnd;
@@ -149,7 +149,8 @@
                 clock.machineMs(),
                 unanswered,
                 descriptors,
-                learned.withStarts((host, startedMs) -> startedMs <= 0 ? startedMs : directory.startByDiscoveryClockMs(host)));
+                learned.withStarts(
+                        (host, startedMs) -> startedMs <= 0 ? startedMs : directory.startByDiscoveryClockMs(host)));
     }
 
     /** Tells what another process has out by node, and how many requests it has in hand. */
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -552,7 +552,8 @@
         String counts = dispatcher.counters().report();
         if (counts != null) {
             log.line(counts + "; connections: " + server.connections() + " from the client, " + pool.open()
-                    + " to upstreams, " + pool.opened() + " opened and " + pool.malformedAnswers() + " spoilt answers so far; "
+                    + " to upstreams, " + pool.opened() + " opened and " + pool.malformedAnswers()
+                    + " spoilt answers so far; "
                     + server.evicted()
                     + " of the client's closed as idle and " + server.turnedAway() + " requests refused for want of"
                     + " descriptors or, when ending, of connections so far");
--- a/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -129,7 +129,8 @@
                     new LearnedState.NodeState(
                             in.getDouble(), in.getDouble(), in.getDouble(), in.getFloat(), in.getInt(), in.get() != 0));
         }
-        return new HandoverSnapshot(writtenMs, inHand, descriptors, new LearnedState<>(admitted, extra, classes, nodes, carried));
+        return new HandoverSnapshot(
+                writtenMs, inHand, descriptors, new LearnedState<>(admitted, extra, classes, nodes, carried));
     }
 
     private static long sum(byte[] bytes, int length) {
--- a/src/main/java/ivybank/handover/LearnedState.java
+++ b/src/main/java/ivybank/handover/LearnedState.java
@@ -17,7 +17,11 @@
  * @param maxRateByKind by kind, the most that a warm node was seen to carry
  */
 public record LearnedState<K>(
-        double admittedShare, double extraAttempts, List<ClassState> classes, Map<K, NodeState> nodes, Map<Integer, Double> maxRateByKind) {
+        double admittedShare,
+        double extraAttempts,
+        List<ClassState> classes,
+        Map<K, NodeState> nodes,
+        Map<Integer, Double> maxRateByKind) {
 
     /** The running median of a class's latencies, the same while all was quiet (0: not known), and from how many answers. */
     public record ClassState(double typicalMs, double quietMs, int answers) {}
--- a/src/main/java/ivybank/policy/Host.java
+++ b/src/main/java/ivybank/policy/Host.java
@@ -2,8 +2,8 @@
 
 import ivybank.concurrency.ConcurrencyLimit;
 import ivybank.concurrency.Mean;
-import ivybank.handover.LearnedState;
 import ivybank.handover.Confidence;
+import ivybank.handover.LearnedState;
 import ivybank.slowstart.TokenBucket;
 import java.util.ArrayDeque;
 
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -1,7 +1,7 @@
 package ivybank.policy;
 
-import ivybank.handover.LearnedState;
 import ivybank.handover.Confidence;
+import ivybank.handover.LearnedState;
 import ivybank.queue.RankedQueues;
 import ivybank.slowstart.ColdNodeRateLimiter;
 import ivybank.subsetting.SubsetSize;
--- a/src/main/java/ivybank/tally/FleetSum.java
+++ b/src/main/java/ivybank/tally/FleetSum.java
@@ -173,8 +173,9 @@
     public List<Figure> figures() {
         double requests =
                 Math.max(1, seconds.values().stream().mapToInt(InSecond::taken).sum());
-        SecondCounts.NodeCounts all =
-                seconds.values().stream().map(InSecond::all).reduce(SecondCounts.NodeCounts.ZERO, SecondCounts.NodeCounts::plus);
+        SecondCounts.NodeCounts all = seconds.values().stream()
+                .map(InSecond::all)
+                .reduce(SecondCounts.NodeCounts.ZERO, SecondCounts.NodeCounts::plus);
         List<Figure> figures = new ArrayList<>();
         figures.add(new Figure("sidecars", sidecars.size()));
         figures.add(new Figure(
@@ -190,9 +191,11 @@
         figures.add(new Figure("connections not come up, for each request", all.notUp() / requests));
         figures.add(new Figure("attempts timed out, for each request", all.timedOut() / requests));
         figures.add(new Figure("attempts turned away, for each request", all.turnedAway() / requests));
-        figures.add(new Figure("connections begun at one node in its worst second", worst(SecondCounts.NodeCounts::begun)));
+        figures.add(
+                new Figure("connections begun at one node in its worst second", worst(SecondCounts.NodeCounts::begun)));
         figures.add(new Figure("connections held at one node at most", worst(SecondCounts.NodeCounts::held)));
-        figures.add(new Figure("attempts at one node just back in its worst second", worst(SecondCounts.NodeCounts::justBack)));
+        figures.add(new Figure(
+                "attempts at one node just back in its worst second", worst(SecondCounts.NodeCounts::justBack)));
         figures.add(new Figure("attempts at one cold node in its worst second", worst(SecondCounts.NodeCounts::cold)));
         figures.add(new Figure(
                 "calls to discovery in the worst second",
@@ -367,7 +370,8 @@
     public List<String> mostTimedOut(int most) {
         Map<String, SecondCounts.NodeCounts> whole = new TreeMap<>();
         seconds.values()
-                .forEach(second -> second.nodes.forEach((name, node) -> whole.merge(name, node, SecondCounts.NodeCounts::plus)));
+                .forEach(second ->
+                        second.nodes.forEach((name, node) -> whole.merge(name, node, SecondCounts.NodeCounts::plus)));
         return whole.entrySet().stream()
                 .sorted(Comparator.comparingInt((Map.Entry<String, SecondCounts.NodeCounts> entry) ->
                                 -entry.getValue().timedOut())
--- a/src/main/java/ivybank/tally/SecondTally.java
+++ b/src/main/java/ivybank/tally/SecondTally.java
@@ -28,7 +28,8 @@
         int timedOut;
 
         SecondCounts.NodeCounts figures() {
-            return new SecondCounts.NodeCounts(begun, held, idle, notUp, sent[0], sent[1], sent[2], turnedAway, timedOut);
+            return new SecondCounts.NodeCounts(
+                    begun, held, idle, notUp, sent[0], sent[1], sent[2], turnedAway, timedOut);
         }
 
         /** Begins anew, and tells whether there is nothing left to keep. */
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -47,7 +47,11 @@
         /** Limits under which a connection can be used again at once, for nodes that are known to answer once. */
         public static Limits withoutRest(int connections, int connectTimeoutMs, double idleMs) {
             return new Limits(
-                    connections, connectTimeoutMs, idleMs, LONGEST_STALL_MS, ConnectionReusePolicy.Limits.standard(0, 0));
+                    connections,
+                    connectTimeoutMs,
+                    idleMs,
+                    LONGEST_STALL_MS,
+                    ConnectionReusePolicy.Limits.standard(0, 0));
         }
     }
 
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ivybank.handover.LearnedState;
 import ivybank.handover.HandoverSnapshot;
 import ivybank.handover.HandoverSnapshotFiles;
+import ivybank.handover.LearnedState;
 import ivybank.testing.FakeServer;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -51,7 +51,8 @@
     /** What another process leaves while it has so many requests in hand; until it has been read. */
     private void leave(HandoverSnapshotFiles other, int inHand) throws Exception {
         for (int i = 0; i < 5; i++) {
-            other.write(new HandoverSnapshot(clock.machineMs(), inHand, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
+            other.write(new HandoverSnapshot(
+                    clock.machineMs(), inHand, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
             Thread.sleep(60);
         }
     }
--- a/src/test/java/ivybank/handover/HandoverSnapshotTest.java
+++ b/src/test/java/ivybank/handover/HandoverSnapshotTest.java
@@ -53,7 +53,10 @@
             for (int bit = 0; bit < 8; bit++) {
                 byte[] flipped = whole.clone();
                 flipped[i] ^= (byte) (1 << bit);
-                assertThrows(HandoverSnapshotCodec.Unreadable.class, () -> HandoverSnapshotCodec.read(flipped), "flipped at " + i);
+                assertThrows(
+                        HandoverSnapshotCodec.Unreadable.class,
+                        () -> HandoverSnapshotCodec.read(flipped),
+                        "flipped at " + i);
             }
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
--- a/src/test/java/ivybank/tally/FleetSumTest.java
+++ b/src/test/java/ivybank/tally/FleetSumTest.java
@@ -38,7 +38,8 @@
                 tally.listUpdated(second < 3 ? 7 : 8);
                 log.append(0.1 * second)
                         .append(' ')
-                        .append(tally.endSecond(START_MS + 1000 * second + 5 * i, i).line())
+                        .append(tally.endSecond(START_MS + 1000 * second + 5 * i, i)
+                                .line())
                         .append('\n');
                 log.append(
                         "given up within 1000 ms: {ROOM=2, ATTEMPTS=1}; admitting 90%; of 10 members 5 full, 0 cold, 1 set aside\n");
--- a/src/test/java/ivybank/tally/SecondTallyTest.java
+++ b/src/test/java/ivybank/tally/SecondTallyTest.java
@@ -30,11 +30,16 @@
         tally.connectionFailed("s-3");
         SecondCounts second = tally.endSecond(1_800_000_000_500.0, 7);
         assertEquals(
-                new SecondCounts.NodeCounts(1, 1, 0, 0, 1, 0, 0, 0, 0), second.nodes().get("s-1"));
+                new SecondCounts.NodeCounts(1, 1, 0, 0, 1, 0, 0, 0, 0),
+                second.nodes().get("s-1"));
         assertEquals(
-                new SecondCounts.NodeCounts(0, 0, 0, 0, 0, 1, 1, 1, 1), second.nodes().get("s-2"));
+                new SecondCounts.NodeCounts(0, 0, 0, 0, 0, 1, 1, 1, 1),
+                second.nodes().get("s-2"));
         assertEquals(second, SecondCounts.parse(second.line()), second.line());
-        assertEquals(second, SecondCounts.parse("13.655 " + second.line()), "behind what a collector of logs puts before it");
+        assertEquals(
+                second,
+                SecondCounts.parse("13.655 " + second.line()),
+                "behind what a collector of logs puts before it");
     }
 
     @Test
@@ -79,10 +84,13 @@
         String before = "tally at=1000 late=0 list=41 taken=2 served=1 not=0 calls=0";
         assertEquals(2, SecondCounts.parse(before).taken());
         assertTrue(SecondCounts.parse(before).stages().isEmpty());
-        assertTrue(SecondCounts.parse(before + " stage:of-tomorrow=5*1").stages().isEmpty());
+        assertTrue(
+                SecondCounts.parse(before + " stage:of-tomorrow=5*1").stages().isEmpty());
         for (String damaged : new String[] {"5", "5*", "*1", "5*0", "-5*1", "5*1,", "x*1"}) {
             assertThrows(
-                    IllegalArgumentException.class, () -> SecondCounts.parse(before + " stage:rest=" + damaged), damaged);
+                    IllegalArgumentException.class,
+                    () -> SecondCounts.parse(before + " stage:rest=" + damaged),
+                    damaged);
         }
     }
 
@@ -108,7 +116,9 @@
         assertEquals(SecondTally.MOST_NODES, second.nodes().size());
         assertEquals(
                 5001,
-                second.nodes().values().stream().mapToInt(SecondCounts.NodeCounts::sent).sum());
+                second.nodes().values().stream()
+                        .mapToInt(SecondCounts.NodeCounts::sent)
+                        .sum());
         assertEquals(2, second.nodes().get("node-4999").sent(), "the busiest have a place of their own");
         for (int node = 0; node < 5000; node++) {
             tally.attemptSent("other-" + node, Tally.Age.WARM);
