--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -39,7 +39,7 @@
 import ivybank.supervision.PeriodicTask;
 import ivybank.supervision.StartRetry;
 import ivybank.supervision.Watchdog;
-import ivybank.tally.Second;
+import ivybank.tally.SecondCounts;
 import ivybank.tally.SecondTally;
 import ivybank.toml.InputException;
 import ivybank.upstream.LoadReport;
@@ -162,7 +162,7 @@
         DescriptorShares shares = DescriptorShares.of(config.sockets());
         descriptors = new Descriptors(shares.all());
         clientLimits = shares.clients();
-        UpstreamPool.Limits limits = UpstreamPool.Limits.usual(
+        UpstreamPool.Limits limits = UpstreamPool.Limits.standard(
                 shares.upstreams(),
                 (int) config.connectTimeoutMs(),
                 Math.min(LONGEST_IDLE_MS, PART_OF_IDLE_LIMIT * config.connectionIdleMs()),
@@ -445,17 +445,17 @@
     }
 
     private void beginToFollow(double listAtMs) {
-        pool.countIn(tally);
+        pool.setTally(tally);
         dispatcher.countIn(tally);
-        discovery.countIn(tally);
-        ListLease lease = ListLease.usual(timing.asked(), config.drainGraceMs());
-        lease.beginsAt(listAtMs);
-        discovery.renews(lease);
+        discovery.setTally(tally);
+        ListLease lease = ListLease.standard(timing.asked(), config.drainGraceMs());
+        lease.startAt(listAtMs);
+        discovery.setLease(lease);
         dispatcher.heeds(lease, guard);
         watchdog.watch(discovery);
         watchdog.watch(configReload);
         pool.chains().forEach(watchdog::watch);
-        pool.mind(beforeSends);
+        pool.setStallDetector(beforeSends);
         dispatcher.mind(ofRequests, beforeSends);
         look(beforeSends);
         look(ofRequests);
@@ -466,7 +466,7 @@
         if (timing.asked()) {
             askedEnough.trySuccess(null);
         } else {
-            discovery.onFirstWord(() -> {
+            discovery.onFirstCallCompleted(() -> {
                 timeline.reached("discovery heard or given up for now");
                 discoveryAsked = true;
                 askedEnough.trySuccess(null);
@@ -540,8 +540,8 @@
     /** What was done to each node in this second: the sums over all sidecars' logs show what none of them sees alone. */
     private void tally() {
         double nowMs = clock.nowMs();
-        pool.countIdle();
-        Second second = tally.end(nowMs, Math.max(0, nowMs - tallyDueMs));
+        pool.reportIdle();
+        SecondCounts second = tally.endSecond(nowMs, Math.max(0, nowMs - tallyDueMs));
         tallyDueMs = Math.max(tallyDueMs + TALLY_MS, nowMs);
         if (second != null) {
             log.line(second.line() + " violations=" + guard.takeViolations() + (peers == null ? "" : peers.tally()));
@@ -552,7 +552,8 @@
         String counts = dispatcher.counters().report();
         if (counts != null) {
             log.line(counts + "; connections: " + server.connections() + " from the client, " + pool.open()
-                    + " to upstreams, " + pool.opened() + " opened and " + pool.spoilt() + " spoilt answers so far; "
+                    + " to upstreams, " + pool.opened() + " opened and " + pool.malformedAnswers()
+                    + " spoilt answers so far; "
                     + server.evicted()
                     + " of the client's closed as idle and " + server.turnedAway() + " requests refused for want of"
                     + " descriptors or, when ending, of connections so far");
@@ -606,7 +607,7 @@
             drain.finishAfter(drainTimes.stopServingMs(), () -> finished(0));
         } else {
             drain.after(0, "accepting no more", server::stopListening);
-            drain.after(0, "closing idle connections to upstreams", pool::keepNoneIdle);
+            drain.after(0, "closing idle connections to upstreams", pool::disableIdleConnections);
             drain.after(0, "ending connections with their answers", server::drain);
             double closeIdleMs = clock.nowMs() + (double) drainTimes.stopServingMs();
             drain.finishAfter(0, () -> finished(closeIdleMs));
--- a/src/test/java/ivybank/tally/FleetSumTest.java
+++ b/src/test/java/ivybank/tally/FleetSumTest.java
@@ -27,18 +27,19 @@
             StringBuilder log = new StringBuilder("listening\n");
             for (int second = 1; second <= 3; second++) {
                 for (int n = 0; n < (second == 2 ? begun : 0); n++) {
-                    tally.begun("back");
-                    tally.sent("back", Tally.Age.JUST_BACK);
+                    tally.connectionStarted("back");
+                    tally.attemptSent("back", Tally.Age.JUST_BACK);
                 }
-                tally.taken();
-                tally.sent("other-" + i, Tally.Age.WARM);
-                tally.served();
-                tally.answered();
-                tally.called();
-                tally.listed(second < 3 ? 7 : 8);
+                tally.requestTaken();
+                tally.attemptSent("other-" + i, Tally.Age.WARM);
+                tally.requestServed();
+                tally.requestCompleted();
+                tally.discoveryCalled();
+                tally.listUpdated(second < 3 ? 7 : 8);
                 log.append(0.1 * second)
                         .append(' ')
-                        .append(tally.end(START_MS + 1000 * second + 5 * i, i).line())
+                        .append(tally.endSecond(START_MS + 1000 * second + 5 * i, i)
+                                .line())
                         .append('\n');
                 log.append(
                         "given up within 1000 ms: {ROOM=2, ATTEMPTS=1}; admitting 90%; of 10 members 5 full, 0 cold, 1 set aside\n");
@@ -58,12 +59,12 @@
         sum.begin("n0");
         SecondTally tally = new SecondTally();
         for (int second = 1; second <= 16; second++) {
-            tally.taken();
+            tally.requestTaken();
             if (second != 7 && second != 8) {
-                tally.served();
+                tally.requestServed();
             }
-            tally.answered();
-            sum.line(tally.end(START_MS + 1000 * second + 100, 0).line());
+            tally.requestCompleted();
+            sum.line(tally.endSecond(START_MS + 1000 * second + 100, 0).line());
         }
         assertEquals(2, sum.toFullService(START_MS / 1000 + 7));
         assertEquals(Double.NaN, sum.toFullService(START_MS / 1000), "nothing is known of before");
@@ -123,7 +124,7 @@
                         .getBytes(StandardCharsets.UTF_8));
         FleetSum sum = LogFolder.sum(folder);
         assertTrue(sum.seconds().size() <= 4, sum.seconds().keySet().toString());
-        assertTrue(sum.leftOut() > 0);
+        assertTrue(sum.skippedLines() > 0);
         Files.writeString(folder.resolve("empty.log"), "");
         Files.write(folder.resolve("noise.log"), new byte[] {0, 1, (byte) 0xc3, 10, (byte) 0xff});
         assertEquals(sum.sidecars(), LogFolder.sum(folder).sidecars());
