--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -3,13 +3,13 @@
 import io.netty.channel.EventLoop;
 import ivybank.client.ClientServer;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.handover.HandoverSnapshot;
 import ivybank.handover.HandoverSnapshotFiles;
-import ivybank.supervision.Chain;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
+import ivybank.supervision.SupervisedTask;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Comparator;
@@ -42,7 +42,7 @@
     private final EventLoop loop;
     private final RequestDispatcher dispatcher;
     private final ClientServer server;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Clock clock;
     private final Log log;
     private final HandoverSnapshotFiles files;
@@ -58,7 +58,7 @@
             EventLoop loop,
             RequestDispatcher dispatcher,
             ClientServer server,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             Clock clock,
             Log log) {
         this.loop = loop;
@@ -77,7 +77,7 @@
 
     /** Takes over what the process before this one has left, if there is any; before this one serves. */
     void takeOver() {
-        double nowMs = clock.machineMs();
+        double nowMs = clock.monotonicMs();
         Optional<HandoverSnapshot> newest =
                 others().stream().max(Comparator.comparingDouble(HandoverSnapshot::writtenMs));
         newest.ifPresent(memory -> {
@@ -88,7 +88,7 @@
         });
     }
 
-    Chain start() {
+    SupervisedTask start() {
         round(); // before the first connection is accepted
         return PeriodicTask.start("handover", thread, clock, log, TOGETHER_MS, this::round);
     }
@@ -109,7 +109,7 @@
 
     private List<HandoverSnapshot> others() {
         try {
-            return files.others(clock.machineMs());
+            return files.others(clock.monotonicMs());
         } catch (IOException e) {
             fails("what other processes have left can't be read: " + e);
             return List.of();
@@ -117,7 +117,7 @@
     }
 
     private void tellElsewhere() {
-        double nowMs = clock.machineMs();
+        double nowMs = clock.monotonicMs();
         Map<String, Integer> out = new HashMap<>();
         int inHand = 0;
         int held = company ? HELD_BESIDE : 0;
@@ -133,8 +133,8 @@
         toldElsewhere = company;
         EventLoopTasks.execute(loop, () -> {
             dispatcher.elsewhere(out, requests);
-            server.elsewhere(requests);
-            descriptors.elsewhere(heldElsewhere);
+            server.setOtherProcessRequests(requests);
+            descriptors.setUsedByOtherProcess(heldElsewhere);
         });
     }
 
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -146,7 +146,7 @@
     HandoverSnapshot memory(int descriptors) {
         LearnedState<String> learned = balancer.learned().withKeys(directory::host);
         return new HandoverSnapshot(
-                clock.machineMs(),
+                clock.monotonicMs(),
                 unanswered,
                 descriptors,
                 learned.withStarts(
@@ -193,11 +193,11 @@
     }
 
     @Override
-    public int request(ClientRequest request, Consumer<Answer> client) {
-        boolean arriving = request.arriving();
+    public int handle(ClientRequest request, Consumer<Answer> client) {
+        boolean arriving = request.isIncomplete();
         double deadlineMs =
                 arriving ? Exchange.NO_DEADLINE_YET : RequestDeadline.atMs(request, clock.nowMs(), stallDetector);
-        double earliestMs = Math.min(request.earliestArrivalMs(), sendStalls.earliestMs(clock.nowMs()));
+        double earliestMs = Math.min(request.earliestArrivalMs(), sendStalls.earliestArrivalMs(clock.nowMs()));
         Exchange exchange = new Exchange(++lastId, request, deadlineMs, earliestMs, client);
         exchanges.put(exchange.id, exchange);
         openIds.add(request.callId());
@@ -214,7 +214,7 @@
                 request.requestClass(),
                 request.tenant(),
                 Math.max(0, leftMs - RequestDeadline.reserveMs(request)),
-                request.repeat(),
+                request.clientRetry(),
                 arriving);
         events.tell(() -> {
             deciding = exchange.id;
@@ -228,7 +228,7 @@
     }
 
     @Override
-    public void arrived(int id) {
+    public void bodyCompleted(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.over && exchange.isArriving()) {
             double budgetMs = exchange.request.budgetMs();
@@ -246,12 +246,12 @@
     }
 
     @Override
-    public boolean isOpen(String callId) {
+    public boolean isInFlight(String callId) {
         return openIds.contains(callId);
     }
 
     @Override
-    public void clientLeft(int id) {
+    public void cancel(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.over) {
             counters.left++;
@@ -336,7 +336,7 @@
     @Override
     public void began(Exchange exchange, int number, double sentMs, Answer answer) {
         if (!exchange.isUnanswered()) {
-            answer.rest().leave();
+            answer.remainingBody().abandon();
             return;
         }
         exchange.passingOn = number;
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -15,7 +15,7 @@
 import ivybank.client.ClientServer;
 import ivybank.common.BackgroundOutput;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.common.NextSelect;
@@ -34,10 +34,10 @@
 import ivybank.peers.PeerFleet;
 import ivybank.policy.LoadShiftingBalancer;
 import ivybank.promises.PromiseRequestHandler;
-import ivybank.supervision.Chain;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
 import ivybank.supervision.StartRetry;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.Watchdog;
 import ivybank.tally.SecondCounts;
 import ivybank.tally.SecondTally;
@@ -91,7 +91,7 @@
     private final EventLoop loop;
     private final Watchdog watchdog;
     private final InvariantGuard guard;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final UpstreamPool pool;
     private final RequestDispatcher dispatcher;
     private final Discovery discovery;
@@ -160,7 +160,7 @@
         watchdog = new Watchdog(loop, clock, log);
         guard = new InvariantGuard(log::line);
         DescriptorShares shares = DescriptorShares.of(config.sockets());
-        descriptors = new Descriptors(shares.all());
+        descriptors = new DescriptorBudget(shares.all());
         clientLimits = shares.clients();
         UpstreamPool.Limits limits = UpstreamPool.Limits.standard(
                 shares.upstreams(),
@@ -193,8 +193,8 @@
                 log);
         configReload = new ConfigReload(loop, file, discovery::moveTo, clock, log);
         drain = new DrainSequence(clock, log);
-        beforeSends = EventLoopStallDetector.beforeSends(config.drainGraceMs(), clock.nowMs());
-        ofRequests = EventLoopStallDetector.ofRequests(clock.nowMs());
+        beforeSends = EventLoopStallDetector.forSends(config.drainGraceMs(), clock.nowMs());
+        ofRequests = EventLoopStallDetector.forRequestTimes(clock.nowMs());
     }
 
     /**
@@ -241,7 +241,7 @@
                 timing,
                 more == null ? null : more.store(),
                 InheritedListener.listener(environment));
-        sidecar.follow(ProcessAge.mostMs());
+        sidecar.follow(ProcessAge.maxMs());
         sidecar.prepare();
         if (more != null && more.peers() != null) {
             sidecar.among(
@@ -297,7 +297,8 @@
     private void among(PeerFleet fleet, boolean later) throws IOException {
         successor = later;
         // An upgrade has two processes at one address for a while.
-        Chain ticks = StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
+        SupervisedTask ticks =
+                StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
         EventLoopTasks.execute(loop, () -> watchdog.watch(ticks));
         peers = fleet;
     }
@@ -310,7 +311,7 @@
     @Override
     public void company(boolean another) {
         company = another;
-        loop.execute(() -> server.company(another));
+        loop.execute(() -> server.setOtherProcessPresent(another));
         if (peers != null && (!another || !successor)) { // of two, the one that came later speaks
             loop.execute(() -> peers.hush(another));
         }
@@ -327,7 +328,7 @@
         next.takeOver();
         handover = next;
         next.company(company);
-        Chain rounds = next.start();
+        SupervisedTask rounds = next.start();
         EventLoopTasks.execute(loop, () -> watchdog.watch(rounds));
     }
 
@@ -391,7 +392,7 @@
         return CompletableFuture.runAsync(
                 () -> {
                     dispatcher.takeOut(orders.out());
-                    server.standBy(orders.standbySinceMs());
+                    server.setStandbySince(orders.standbySinceMs());
                 },
                 loop);
     }
@@ -399,8 +400,8 @@
     /** Begins to serve clients. On the event loop. */
     private void serve(Promise<Channel> bound) {
         try {
-            server.heeds(guard);
-            server.mind(List.of(beforeSends, ofRequests));
+            server.setGuard(guard);
+            server.setStallDetectors(List.of(beforeSends, ofRequests));
             server.startSweeps(loop).forEach(watchdog::watch);
             listen(bound, 1);
         } catch (RuntimeException e) {
@@ -490,7 +491,7 @@
         long periodMs = (long) stallDetector.periodMs();
         Runnable look = () -> {
             watchdog.checkIfDue();
-            if (stallDetector.look(clock.nowMs())) {
+            if (stallDetector.check(clock.nowMs())) {
                 settle(stallDetector);
             }
         };
@@ -498,15 +499,15 @@
     }
 
     private void settle(EventLoopStallDetector stallDetector) {
-        NextSelect.then(loop, () -> {
-            if (stallDetector.passed(clock.nowMs())) {
+        NextSelect.runAfter(loop, () -> {
+            if (stallDetector.passCompleted(clock.nowMs())) {
                 settle(stallDetector);
             }
         });
     }
 
     private ChannelFuture listen() {
-        if (!guard.starting(timing.asked() || discoveryAsked).isAllowed()) {
+        if (!guard.checkStart(timing.asked() || discoveryAsked).isAllowed()) {
             throw new IllegalStateException("clients are not served before discovery was asked");
         }
         return server.listen(
@@ -544,7 +545,7 @@
         SecondCounts second = tally.endSecond(nowMs, Math.max(0, nowMs - tallyDueMs));
         tallyDueMs = Math.max(tallyDueMs + TALLY_MS, nowMs);
         if (second != null) {
-            log.line(second.line() + " violations=" + guard.takeViolations() + (peers == null ? "" : peers.tally()));
+            log.line(second.line() + " violations=" + guard.takeNewViolations() + (peers == null ? "" : peers.tally()));
         }
     }
 
@@ -554,8 +555,9 @@
             log.line(counts + "; connections: " + server.connections() + " from the client, " + pool.open()
                     + " to upstreams, " + pool.opened() + " opened and " + pool.malformedAnswers()
                     + " spoilt answers so far; "
-                    + server.evicted()
-                    + " of the client's closed as idle and " + server.turnedAway() + " requests refused for want of"
+                    + server.evictedConnections()
+                    + " of the client's closed as idle and " + server.refusedRequests()
+                    + " requests refused for want of"
                     + " descriptors or, when ending, of connections so far");
         }
         if (counts != null && promises != null) {
@@ -601,7 +603,7 @@
             drain.after(0, "telling the peers", peers::draining);
         }
         if (inherited == null) {
-            drain.after(0, "keeping connections", server::keepConnections);
+            drain.after(0, "keeping connections", server::retainConnections);
             drain.after(drainTimes.stopListeningMs(), "closing the listener", server::stopListening);
             drain.after(drainTimes.stopServingMs(), "ending connections with their answers", server::drain);
             drain.finishAfter(drainTimes.stopServingMs(), () -> finished(0));
--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public boolean recorded() {
+        public boolean isRecorded() {
             return recorded;
         }
 
@@ -122,13 +122,13 @@
         }
 
         @Override
-        public void sending() {
+        public void attemptStarted() {
             out++;
             promises.sent(identity);
         }
 
         @Override
-        public void ended(boolean proved) {
+        public void attemptEnded(boolean proved) {
             out -= proved ? 1 : 0;
         }
 
@@ -267,15 +267,15 @@
     }
 
     @Override
-    public boolean isOpen(String callId) {
-        return driver.isOpen(callId);
+    public boolean isInFlight(String callId) {
+        return driver.isInFlight(callId);
     }
 
     @Override
-    public int request(ClientRequest request, Consumer<Answer> client) {
+    public int handle(ClientRequest request, Consumer<Answer> client) {
         RequestClass spec = classes.get(request.requestClass());
         if (spec.effect() == Effect.SAFE) {
-            return driver.request(request, client);
+            return driver.handle(request, client);
         }
         String named = request.identity();
         // One without a name is never recognised again: what is promised of it is only that this sidecar sends it once.
@@ -288,7 +288,8 @@
             case JOIN -> {
                 return join(inHand.get(identity), request, client);
             }
-            case IN_DOUBT -> client.accept(Answer.told(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
+            case IN_DOUBT ->
+                client.accept(Answer.failure(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
             case NO_ROOM -> client.accept(Answer.refused(retryAfterMs));
             default -> {
                 return take(identity, request, client);
@@ -309,7 +310,7 @@
         Waiter first = new Waiter(client);
         promise.waiters.add(first);
         double deadlineMs = request.arrivedMs() + request.budgetMs();
-        int number = driver.request(request.with(promise), answer -> answered(promise, answer, deadlineMs));
+        int number = driver.handle(request.withSendRecord(promise), answer -> answered(promise, answer, deadlineMs));
         promise.number = number;
         first.number = number;
         if (inHand.get(identity) == promise) {
@@ -365,7 +366,7 @@
                 promise,
                 settings.letThrough()
                         ? answer
-                        : Answer.told(FAILED, "it has run, and its answer could not be recorded: in doubt"));
+                        : Answer.failure(FAILED, "it has run, and its answer could not be recorded: in doubt"));
     }
 
     /** It has ended without an answer that is on record. */
@@ -386,7 +387,7 @@
     private void bound(Waiter waiter, double deadlineMs) {
         waiter.patience = after(
                 deadlineMs - MARGIN_MS - clock.nowMs(),
-                () -> waiter.tell(Answer.told(OUT_OF_TIME, "it is in hand, and its answer is not there yet")));
+                () -> waiter.tell(Answer.failure(OUT_OF_TIME, "it is in hand, and its answer is not there yet")));
     }
 
     private int join(Promise promise, ClientRequest request, Consumer<Answer> client) {
@@ -405,7 +406,7 @@
                 key(identity),
                 (value, failure) -> loop.execute(() -> waiter.tell(
                         value == null
-                                ? Answer.told(
+                                ? Answer.failure(
                                         FAILED,
                                         "it has run, and its answer can't be read: "
                                                 + (failure == null ? "it was just forgotten" : failure.getMessage()))
@@ -417,21 +418,21 @@
     }
 
     @Override
-    public void arrived(int number) {
-        driver.arrived(number); // long ones are not on record and keep their numbers
+    public void bodyCompleted(int number) {
+        driver.bodyCompleted(number); // long ones are not on record and keep their numbers
     }
 
     @Override
-    public void clientLeft(int number) {
+    public void cancel(int number) {
         Promise promise = byNumber.remove(number);
         if (promise == null) {
-            driver.clientLeft(number);
+            driver.cancel(number);
             return;
         }
         promise.waiters.stream().filter(waiter -> waiter.number == number).forEach(Waiter::leave);
         if (promise.waiters.stream().allMatch(waiter -> waiter.over)
                 && !promise.settled) { // else another one waits for the same
-            driver.clientLeft(promise.number);
+            driver.cancel(promise.number);
             promise.settled = true;
             end(promise, promise.out == 0);
         }
--- a/src/main/java/ivybank/upstream/UpstreamAttempt.java
+++ b/src/main/java/ivybank/upstream/UpstreamAttempt.java
@@ -4,7 +4,7 @@
 import ivybank.discovery.Node;
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
-import ivybank.invariants.Repeat;
+import ivybank.invariants.RepeatRisk;
 import ivybank.invariants.Verdict;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.tally.Stage;
@@ -19,7 +19,7 @@
 
         /** A long answer has begun; it belongs to the client now, and the attempt ends with it. */
         default void answerStarted(Answer answer) {
-            answer.rest().leave();
+            answer.remainingBody().abandon();
         }
 
         /** The most that its node may be told of the time that is left, in milliseconds. */
@@ -129,10 +129,10 @@
     }
 
     /** What another attempt of the same request has to know of it. */
-    public Repeat.Other asOther() {
+    public RepeatRisk.OtherAttempt asOther() {
         boolean written = writtenMs < Double.POSITIVE_INFINITY;
         boolean provedNotRun = outcome != null && outcome.provesNotRun();
-        return new Repeat.Other(written && !provedNotRun, node.zone(), node.cell(), writtenMs);
+        return new RepeatRisk.OtherAttempt(written && !provedNotRun, node.zone(), node.cell(), writtenMs);
     }
 
     /** Stops waiting: called off, or out of time. */
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -3,14 +3,14 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.EventLoop;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.common.NextSelect;
 import ivybank.discovery.Node;
 import ivybank.policy.Balancer.Outcome;
-import ivybank.supervision.Chain;
 import ivybank.supervision.PeriodicTask;
+import ivybank.supervision.SupervisedTask;
 import ivybank.tally.Stage;
 import ivybank.tally.Tally;
 import ivybank.upstream.ConnectionReusePolicy.NodeState;
@@ -87,7 +87,7 @@
             EventLoop loop,
             Clock clock,
             Limits limits,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             LoadReport reports,
             Bootstrap base,
             Log log) {
@@ -111,7 +111,7 @@
     }
 
     /** What closes idle connections, finds lost ones, and looks after those of which nothing is told. */
-    public List<Chain> chains() {
+    public List<SupervisedTask> chains() {
         return List.of(sweep, verification);
     }
 
@@ -165,7 +165,7 @@
 
     /** Sends an attempt; it may end before this returns. */
     public void send(UpstreamAttempt attempt) {
-        if (!attempt.request.arriving()) {
+        if (!attempt.request.isIncomplete()) {
             attempt.startTimer(loop);
         }
         reuse.attemptBegan();
@@ -215,8 +215,8 @@
      * drain, while the event loop was held up: what says so may still stand unread, and is looked for first.
      */
     void send(UpstreamConnection connection, UpstreamAttempt attempt) {
-        if (stallDetector.ofLate(clock.nowMs())) {
-            NextSelect.then(loop, () -> writeIfWanted(connection, attempt));
+        if (stallDetector.isStalled(clock.nowMs())) {
+            NextSelect.runAfter(loop, () -> writeIfWanted(connection, attempt));
         } else {
             write(connection, attempt);
         }
@@ -227,7 +227,7 @@
      * read yet: it came before the request, and would be taken for the request's own.
      */
     private void write(UpstreamConnection connection, UpstreamAttempt attempt) {
-        if (!attempt.request.client().confirmed()) {
+        if (!attempt.request.client().verifyClientPresent()) {
             loop.schedule(() -> writeIfWanted(connection, attempt), CONFIRM_MS, TimeUnit.MILLISECONDS);
             return;
         }
