--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -51,8 +51,7 @@
     /** What another process leaves while it has so many requests in hand; until it has been read. */
     private void leave(HandoverSnapshotFiles other, int inHand) throws Exception {
         for (int i = 0; i < 5; i++) {
-            other.write(
-                    new HandoverSnapshot(
+            other.write(new HandoverSnapshot(
                     clock.monotonicMs(), inHand, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
             Thread.sleep(60);
         }
