--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -347,7 +347,7 @@
                 .forEach(this::evict);
         evict(connections.size());
         Standby standby = standby();
-        if (standby.compareTo(Standby.CLOSING) >= 0) {
+        if (standby.compareTo(Standby.CLOSING_IDLE) >= 0) {
             closeIdle(standby == Standby.CLOSING_ALL);
         }
     }
@@ -417,7 +417,7 @@
 
     /** Returns whether each answer closes its connection. */
     boolean draining() {
-        return draining || standby().compareTo(Standby.ENDING) >= 0;
+        return draining || standby().compareTo(Standby.CLOSING_AFTER_ANSWER) >= 0;
     }
 
     /** Sends clients away from this time on, in Unix milliseconds; 0 serves them again. */
--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -97,12 +97,12 @@
     private UpstreamAttempt.Listener listener(Exchange exchange, Node node, int number, double begunMs) {
         return new UpstreamAttempt.Listener() {
             @Override
-            public void began(Answer answer) {
+            public void answerStarted(Answer answer) {
                 listener.began(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), answer);
             }
 
             @Override
-            public double mostToldMs() {
+            public double maxBudgetMs() {
                 return exchange.leastLeftMs(clock.nowMs()) + TOLD_SLACK_MS;
             }
 
@@ -141,11 +141,11 @@
 
     private void count(Exchange exchange, Node node, double nowMs, boolean first, boolean atOnce) {
         if (first && !exchange.request.isIncomplete()) {
-            tally.took(atOnce ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
+            tally.stageCompleted(atOnce ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
         }
         double startedMs = node.startedMs();
         double ageMs = startedMs <= 0 ? Double.POSITIVE_INFINITY : nowMs - startedMs;
-        tally.sent(node.host, Tally.Age.of(ageMs, settings.contract().coldMs()));
+        tally.attemptSent(node.host, Tally.Age.of(ageMs, settings.contract().coldMs()));
     }
 
     private void send(Exchange exchange, UpstreamAttempt attempt) {
@@ -154,7 +154,7 @@
             pool.send(attempt);
         } else if (record.isRecorded()) {
             record.attemptStarted();
-            attempt.goOut();
+            attempt.markDispatched();
             pool.send(attempt);
         } else {
             record.record(() -> sendUnlessEnded(exchange, attempt), () -> unrecorded(exchange, attempt));
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -5,8 +5,8 @@
 import ivybank.common.Clock;
 import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
-import ivybank.handover.Memory;
-import ivybank.handover.MemoryFiles;
+import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.HandoverSnapshotFiles;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
 import ivybank.supervision.SupervisedTask;
@@ -45,7 +45,7 @@
     private final DescriptorBudget descriptors;
     private final Clock clock;
     private final Log log;
-    private final MemoryFiles files;
+    private final HandoverSnapshotFiles files;
     private final ScheduledExecutorService thread;
     private volatile boolean company;
     // Used by the thread alone.
@@ -67,7 +67,7 @@
         this.descriptors = descriptors;
         this.clock = clock;
         this.log = log;
-        files = new MemoryFiles(folder, ProcessHandle.current().pid(), log::line);
+        files = new HandoverSnapshotFiles(folder, ProcessHandle.current().pid(), log::line);
         thread = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread its = new Thread(task, "handover");
             its.setDaemon(true);
@@ -78,12 +78,13 @@
     /** Takes over what the process before this one has left, if there is any; before this one serves. */
     void takeOver() {
         double nowMs = clock.monotonicMs();
-        Optional<Memory> newest = others().stream().max(Comparator.comparingDouble(Memory::writtenMs));
+        Optional<HandoverSnapshot> newest =
+                others().stream().max(Comparator.comparingDouble(HandoverSnapshot::writtenMs));
         newest.ifPresent(memory -> {
             log.line("taking over what another process has learned of "
                     + memory.learned().nodes().size() + " nodes, " + Math.round(nowMs - memory.writtenMs())
-                    + " ms ago, believed to " + Math.round(100 * memory.trust(nowMs)) + "%");
-            loop.execute(() -> dispatcher.recall(memory.learned(), memory.trust(nowMs)));
+                    + " ms ago, believed to " + Math.round(100 * memory.confidence(nowMs)) + "%");
+            loop.execute(() -> dispatcher.recall(memory.learned(), memory.confidence(nowMs)));
         });
     }
 
@@ -106,7 +107,7 @@
         }
     }
 
-    private List<Memory> others() {
+    private List<HandoverSnapshot> others() {
         try {
             return files.others(clock.monotonicMs());
         } catch (IOException e) {
@@ -120,11 +121,11 @@
         Map<String, Integer> out = new HashMap<>();
         int inHand = 0;
         int held = company ? HELD_BESIDE : 0;
-        for (Memory memory : company ? others() : List.<Memory>of()) {
+        for (HandoverSnapshot memory : company ? others() : List.<HandoverSnapshot>of()) {
             if (memory.isFresh(nowMs)) {
                 inHand += memory.inHand();
                 held += memory.descriptors();
-                memory.learned().nodes().forEach((host, node) -> out.merge(host, node.out(), Integer::sum));
+                memory.learned().nodes().forEach((host, node) -> out.merge(host, node.inFlight(), Integer::sum));
             }
         }
         int requests = inHand;
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -11,8 +11,8 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.handover.Learned;
-import ivybank.handover.Memory;
+import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.LearnedState;
 import ivybank.invariants.InvariantGuard;
 import ivybank.policy.Balancer;
 import ivybank.policy.Balancer.AttemptEnd;
@@ -138,18 +138,19 @@
      * Takes over what another process of this sidecar has learned, as far as it is believed: of the nodes that are listed
      * now, and of those that discovery names with its first whole list.
      */
-    void recall(Learned<String> learned, double trust) {
+    void recall(LearnedState<String> learned, double trust) {
         inheritance.take(learned, trust);
     }
 
     /** What this process leaves for others of its sidecar. */
-    Memory memory(int descriptors) {
-        Learned<String> learned = balancer.learned().named(directory::host);
-        return new Memory(
+    HandoverSnapshot memory(int descriptors) {
+        LearnedState<String> learned = balancer.learned().withKeys(directory::host);
+        return new HandoverSnapshot(
                 clock.monotonicMs(),
                 unanswered,
                 descriptors,
-                learned.withStarts((host, startedMs) -> startedMs <= 0 ? startedMs : directory.statedStartMs(host)));
+                learned.withStarts(
+                        (host, startedMs) -> startedMs <= 0 ? startedMs : directory.startByDiscoveryClockMs(host)));
     }
 
     /** Tells what another process has out by node, and how many requests it has in hand. */
@@ -162,7 +163,7 @@
             }
         });
         double part = inHand == 0 ? 1 : (unanswered + 1.0) / (unanswered + 1.0 + inHand);
-        events.tell(() -> balancer.elsewhere(numbered, part));
+        events.tell(() -> balancer.setSiblingLoad(numbered, part));
     }
 
     /** Takes over which nodes operators have taken out, by their ids, with when they did. */
@@ -174,7 +175,7 @@
     }
 
     boolean knows(String node) {
-        return directory.knows(node);
+        return directory.contains(node);
     }
 
     @Override
@@ -202,7 +203,7 @@
         openIds.add(request.callId());
         unanswered++;
         counters.taken++;
-        tally.taken();
+        tally.requestTaken();
         // The module goes by when it was read: less time than others have is its sign of a repeat.
         double leftMs = arriving ? request.budgetMs() : request.arrivedMs() + request.budgetMs() - clock.nowMs();
         if (!arriving) {
@@ -303,7 +304,7 @@
             served();
             double endedMs = clock.nowMs();
             answer(exchange, Answer.served(ending.contentType(), ending.body()));
-            tally.took(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
+            tally.stageCompleted(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
         }
         Node node = exchange.attempts.get(number).node;
         events.tell(() -> balancer.attemptEnded(
@@ -321,15 +322,15 @@
 
     private void tally(Node node, Outcome outcome) {
         if (outcome == Outcome.REJECTED) {
-            tally.turnedAway(node.host);
+            tally.attemptRejected(node.host);
         } else if (outcome == Outcome.TIMEOUT) {
-            tally.timedOut(node.host);
+            tally.attemptTimedOut(node.host);
         }
     }
 
     private void served() {
         counters.served++;
-        tally.served();
+        tally.requestServed();
     }
 
     @Override
@@ -353,7 +354,7 @@
 
     private void close(Exchange exchange) {
         exchange.over = true;
-        tally.answered();
+        tally.requestCompleted();
         exchange.stopBackstop();
         unanswered--;
         openIds.remove(exchange.request.callId());
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -33,13 +33,13 @@
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.peers.PeerFleet;
 import ivybank.policy.LoadShiftingBalancer;
-import ivybank.promises.PromiseKeeper;
+import ivybank.promises.PromiseRequestHandler;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
 import ivybank.supervision.StartRetry;
 import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.Watchdog;
-import ivybank.tally.Second;
+import ivybank.tally.SecondCounts;
 import ivybank.tally.SecondTally;
 import ivybank.toml.InputException;
 import ivybank.upstream.LoadReport;
@@ -110,7 +110,7 @@
     private final Promise<Void> askedEnough;
 
     private boolean follows;
-    private volatile PromiseKeeper promises; // null: none are kept, or not yet
+    private volatile PromiseRequestHandler promises; // null: none are kept, or not yet
     private volatile ClientServer server; // null until it is prepared
     private final CountDownLatch drained = new CountDownLatch(1);
     private final ServerSocketChannel inherited; // null: it listens by itself
@@ -162,7 +162,7 @@
         DescriptorShares shares = DescriptorShares.of(config.sockets());
         descriptors = new DescriptorBudget(shares.all());
         clientLimits = shares.clients();
-        UpstreamPool.Limits limits = UpstreamPool.Limits.usual(
+        UpstreamPool.Limits limits = UpstreamPool.Limits.standard(
                 shares.upstreams(),
                 (int) config.connectTimeoutMs(),
                 Math.min(LONGEST_IDLE_MS, PART_OF_IDLE_LIMIT * config.connectionIdleMs()),
@@ -186,7 +186,7 @@
                 base.clone().channel(DiscoverySocketChannel.class),
                 config.discovery(),
                 file::changedDiscovery,
-                config.known().resumeFrom(config.settings().askForList()),
+                config.known().resumeFrom(config.settings().subscribesToList()),
                 timing,
                 dispatcher::updated,
                 clock,
@@ -226,7 +226,7 @@
         SiblingProcesses company =
                 environment.containsKey(InheritedListener.VARIABLE) ? AdminStartup.joinIfPossible(environment) : null;
         Config config = Config.load(environment);
-        Timing standard = Timing.standard(config.settings().askForList(), config.drainGraceMs());
+        Timing standard = Timing.standard(config.settings().subscribesToList(), config.drainGraceMs());
         // Without the file nothing of it is loaded.
         OperatorFile more = operator == null ? null : OperatorFile.read(Path.of(operator), standard);
         Timing timing = more == null ? standard : more.discovery();
@@ -332,14 +332,14 @@
         EventLoopTasks.execute(loop, () -> watchdog.watch(rounds));
     }
 
-    private PromiseKeeper openPromises() throws IOException {
+    private PromiseRequestHandler openPromises() throws IOException {
         try {
-            PromiseKeeper keeper = StartRetry.call(
+            PromiseRequestHandler keeper = StartRetry.call(
                     "opening the store",
                     log,
                     KeptPromises::isLasting,
                     () -> KeptPromises.open(store, config.name(), config.settings(), loop, clock, log));
-            keeper.driver(dispatcher);
+            keeper.setDispatcher(dispatcher);
             return keeper;
         } catch (IOException e) {
             group.shutdownGracefully();
@@ -446,17 +446,17 @@
     }
 
     private void beginToFollow(double listAtMs) {
-        pool.countIn(tally);
+        pool.setTally(tally);
         dispatcher.countIn(tally);
-        discovery.countIn(tally);
-        ListLease lease = ListLease.usual(timing.asked(), config.drainGraceMs());
-        lease.beginsAt(listAtMs);
-        discovery.renews(lease);
+        discovery.setTally(tally);
+        ListLease lease = ListLease.standard(timing.asked(), config.drainGraceMs());
+        lease.startAt(listAtMs);
+        discovery.setLease(lease);
         dispatcher.heeds(lease, guard);
         watchdog.watch(discovery);
         watchdog.watch(configReload);
         pool.chains().forEach(watchdog::watch);
-        pool.mind(beforeSends);
+        pool.setStallDetector(beforeSends);
         dispatcher.mind(ofRequests, beforeSends);
         look(beforeSends);
         look(ofRequests);
@@ -467,7 +467,7 @@
         if (timing.asked()) {
             askedEnough.trySuccess(null);
         } else {
-            discovery.onFirstWord(() -> {
+            discovery.onFirstCallCompleted(() -> {
                 timeline.reached("discovery heard or given up for now");
                 discoveryAsked = true;
                 askedEnough.trySuccess(null);
@@ -541,8 +541,8 @@
     /** What was done to each node in this second: the sums over all sidecars' logs show what none of them sees alone. */
     private void tally() {
         double nowMs = clock.nowMs();
-        pool.countIdle();
-        Second second = tally.end(nowMs, Math.max(0, nowMs - tallyDueMs));
+        pool.reportIdle();
+        SecondCounts second = tally.endSecond(nowMs, Math.max(0, nowMs - tallyDueMs));
         tallyDueMs = Math.max(tallyDueMs + TALLY_MS, nowMs);
         if (second != null) {
             log.line(second.line() + " violations=" + guard.takeNewViolations() + (peers == null ? "" : peers.tally()));
@@ -553,14 +553,15 @@
         String counts = dispatcher.counters().report();
         if (counts != null) {
             log.line(counts + "; connections: " + server.connections() + " from the client, " + pool.open()
-                    + " to upstreams, " + pool.opened() + " opened and " + pool.spoilt() + " spoilt answers so far; "
+                    + " to upstreams, " + pool.opened() + " opened and " + pool.malformedAnswers()
+                    + " spoilt answers so far; "
                     + server.evictedConnections()
                     + " of the client's closed as idle and " + server.refusedRequests()
                     + " requests refused for want of"
                     + " descriptors or, when ending, of connections so far");
         }
         if (counts != null && promises != null) {
-            log.line(promises.report());
+            log.line(promises.statusLine());
         }
         if (peers != null) {
             log.line(peers.line());
@@ -608,7 +609,7 @@
             drain.finishAfter(drainTimes.stopServingMs(), () -> finished(0));
         } else {
             drain.after(0, "accepting no more", server::stopListening);
-            drain.after(0, "closing idle connections to upstreams", pool::keepNoneIdle);
+            drain.after(0, "closing idle connections to upstreams", pool::disableIdleConnections);
             drain.after(0, "ending connections with their answers", server::drain);
             double closeIdleMs = clock.nowMs() + (double) drainTimes.stopServingMs();
             drain.finishAfter(0, () -> finished(closeIdleMs));
--- a/src/main/java/ivybank/scale/worker/HollowSidecar.java
+++ b/src/main/java/ivybank/scale/worker/HollowSidecar.java
@@ -23,7 +23,7 @@
 final class HollowSidecar {
 
     /** As where one service answers all sidecars: the agent of a pushed list would be one for each machine. */
-    private static final Timing PATIENCE = Timing.standard(true, Timing.USUAL_GRACE_MS);
+    private static final Timing PATIENCE = Timing.standard(true, Timing.DEFAULT_DRAIN_GRACE_MS);
 
     private final Clock clock;
     private final Directory directory = new Directory(List.of(), List.of(), node -> {});
@@ -54,7 +54,7 @@
                 .localAddress(from);
         balancer = new LoadShiftingBalancer(HollowSettings.SETTINGS, seed, new IgnoredActions());
         discovery = new Discovery(loop, base, server, () -> null, -1, PATIENCE, this::update, clock, log);
-        discovery.countIn(tally);
+        discovery.setTally(tally);
     }
 
     /** Begins to follow the list. On the event loop. */
@@ -65,7 +65,7 @@
 
     /** Ends the second of the counts, as a sidecar does. On the event loop. */
     void endSecond() {
-        tally.end(clock.nowMs(), 0);
+        tally.endSecond(clock.nowMs(), 0);
     }
 
     private void update(HostUpdate update) {
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -35,19 +35,23 @@
             int connections, int connectTimeoutMs, double idleMs, double stallMs, ConnectionReusePolicy.Limits reuse) {
 
         /** The usual limits; {@code coldMs} is how long after its start a node is still warming up. */
-        public static Limits usual(int connections, int connectTimeoutMs, double idleMs, double coldMs) {
+        public static Limits standard(int connections, int connectTimeoutMs, double idleMs, double coldMs) {
             return new Limits(
                     connections,
                     connectTimeoutMs,
                     idleMs,
                     LONGEST_STALL_MS,
-                    ConnectionReusePolicy.Limits.usual(REST_MS, coldMs));
+                    ConnectionReusePolicy.Limits.standard(REST_MS, coldMs));
         }
 
         /** Limits under which a connection can be used again at once, for nodes that are known to answer once. */
         public static Limits withoutRest(int connections, int connectTimeoutMs, double idleMs) {
             return new Limits(
-                    connections, connectTimeoutMs, idleMs, LONGEST_STALL_MS, ConnectionReusePolicy.Limits.usual(0, 0));
+                    connections,
+                    connectTimeoutMs,
+                    idleMs,
+                    LONGEST_STALL_MS,
+                    ConnectionReusePolicy.Limits.standard(0, 0));
         }
     }
 
@@ -75,8 +79,8 @@
     private final IdleConnections idle = new IdleConnections();
     private Tally tally = Tally.NONE;
     private EventLoopStallDetector stallDetector = EventLoopStallDetector.NEVER;
-    private boolean keepsNoneIdle;
-    private long spoilt;
+    private boolean idleDisabled;
+    private long malformedAnswers;
 
     /** {@code base} says what kind of channels to open, and with which options. */
     public UpstreamPool(
@@ -101,9 +105,9 @@
     }
 
     /** From now on tells this of what happens to connections. Before the first is begun. */
-    public void countIn(Tally counts) {
+    public void setTally(Tally counts) {
         tally = counts;
-        opener.countIn(counts);
+        opener.setTally(counts);
     }
 
     /** What closes idle connections, finds lost ones, and looks after those of which nothing is told. */
@@ -112,18 +116,18 @@
     }
 
     /** From now on minds whether the event loop was held up. */
-    public void mind(EventLoopStallDetector loops) {
+    public void setStallDetector(EventLoopStallDetector loops) {
         stallDetector = loops;
     }
 
     /** Tells what is idle now. */
-    public void countIdle() {
-        idle.countEach((node, count) -> tally.idle(node.host, count));
+    public void reportIdle() {
+        idle.countEach((node, count) -> tally.connectionsIdle(node.host, count));
     }
 
     /** Notes an answer that is none, for the next report. */
     void spoilt(Node node, String how) {
-        spoilt++;
+        malformedAnswers++;
         log.line("an answer of " + node + " " + how + ": failed, and its connection closed");
     }
 
@@ -134,12 +138,12 @@
     }
 
     /** Spoilt answers since the start. */
-    public long spoilt() {
-        return spoilt;
+    public long malformedAnswers() {
+        return malformedAnswers;
     }
 
     void took(Stage stage, double ms) {
-        tally.took(stage, ms);
+        tally.stageCompleted(stage, ms);
     }
 
     double stallMs() {
@@ -318,7 +322,7 @@
 
     /** Keeps a connection that nothing needs at the moment for the next request. */
     void keep(UpstreamConnection connection) {
-        if (keepsNoneIdle || !isOfUse(connection)) {
+        if (idleDisabled || !isOfUse(connection)) {
             connection.close();
         } else {
             idle.add(connection);
@@ -335,8 +339,8 @@
     }
 
     /** From now on a connection is closed when it is free: another process needs the descriptors. */
-    public void keepNoneIdle() {
-        keepsNoneIdle = true;
+    public void disableIdleConnections() {
+        idleDisabled = true;
         closeAllIdle();
     }
 
--- a/src/test/java/ivybank/LayoutTest.java
+++ b/src/test/java/ivybank/LayoutTest.java
@@ -199,7 +199,7 @@
                         "ivybank.handover..",
                         "ivybank.fleet..")
                 .and()
-                .doNotHaveFullyQualifiedName("ivybank.handover.MemoryFiles")
+                .doNotHaveFullyQualifiedName("ivybank.handover.HandoverSnapshotFiles")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -265,7 +265,7 @@
                 .check(PROGRAM);
         noClasses()
                 .that()
-                .haveFullyQualifiedName("ivybank.promises.Promises")
+                .haveFullyQualifiedName("ivybank.promises.PromiseTable")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -24,8 +24,8 @@
 import ivybank.policy.Balancer.Outcome;
 import ivybank.policy.Balancer.Request;
 import ivybank.policy.Balancer.Status;
-import ivybank.policy.IdleBalancer;
-import ivybank.settings.SettingsText;
+import ivybank.policy.NoOpBalancer;
+import ivybank.settings.SettingsParser;
 import ivybank.testing.FakeServer;
 import ivybank.upstream.LoadReport;
 import ivybank.upstream.UpstreamPool;
@@ -65,19 +65,19 @@
             UpstreamPool pool = new UpstreamPool(
                     loop,
                     clock,
-                    UpstreamPool.Limits.usual(10, 250, 10_000, 0),
+                    UpstreamPool.Limits.standard(10, 250, 10_000, 0),
                     new DescriptorBudget(20),
                     new LoadReport(List.of()),
                     new Bootstrap().channel(NioSocketChannel.class),
                     log);
             Directory directory = new Directory(List.of("a"), List.of("k"), pool::closeIdle);
             dispatcher = new RequestDispatcher(
-                    SettingsText.parse(
+                    SettingsParser.parse(
                             "lanes.count=1\nlanes.0.name=submit\nlanes.0.hardLimitMs=6000\nlimits.maxAttempts=6\n"),
                     1,
                     (settings, seed, does) -> {
                         actions = does;
-                        return new IdleBalancer() {
+                        return new NoOpBalancer() {
                             @Override
                             public void request(double nowMs, Request request) {
                                 asked.add(request);
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/OnRecordTest.java
@@ -9,10 +9,10 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import ivybank.store.Disk;
+import ivybank.store.FileSystemDisk;
 import ivybank.store.Limits;
-import ivybank.store.RealDisk;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -173,7 +173,7 @@
     private final HandDriver driver = new HandDriver();
     private final List<String> told = new ArrayList<>();
     private GatedDisk disk;
-    private PromiseKeeper keeper;
+    private PromiseRequestHandler keeper;
 
     @AfterEach
     void close() throws Exception {
@@ -183,11 +183,11 @@
     }
 
     private void open(boolean letThrough) throws Exception {
-        disk = new GatedDisk(RealDisk.take(dir));
+        disk = new GatedDisk(FileSystemDisk.lock(dir));
         Clock clock = Clock.system();
-        keeper = new PromiseKeeper(
+        keeper = new PromiseRequestHandler(
                 new PromiseSettings("X-Event", 60_000, 20_000, letThrough),
-                SettingsText.parse("""
+                SettingsParser.parse("""
                 lanes.count=1
                 lanes.0.name=submit
                 lanes.0.aimMs=1000
@@ -203,7 +203,7 @@
                 loop,
                 clock,
                 new Log(new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8), clock));
-        keeper.driver(driver);
+        keeper.setDispatcher(driver);
         disk.permits.drainPermits();
         disk.waiting.clear();
     }
--- a/src/test/java/ivybank/upstream/ConnectionReuseTest.java
+++ b/src/test/java/ivybank/upstream/ConnectionReuseTest.java
@@ -135,9 +135,9 @@
     void whatAnAttemptWaitedForIsCountedAsItsStage() throws Exception {
         Map<Stage, List<Double>> took = new ConcurrentHashMap<>();
         pool = poolWithSpares(100, 200, 0);
-        pool.countIn(new Tally() {
+        pool.setTally(new Tally() {
             @Override
-            public void took(Stage stage, double ms) {
+            public void stageCompleted(Stage stage, double ms) {
                 took.computeIfAbsent(stage, unseen -> new CopyOnWriteArrayList<>())
                         .add(ms);
             }
