--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -298,7 +298,7 @@
     }
 
     private int take(String identity, ClientRequest request, Consumer<Answer> client) {
-        Store.State state = store.figures().state();
+        Store.State state = store.statistics().state();
         if (state != Store.State.GOOD && !settings.letThrough()) {
             promises.ended(identity, true, clock.nowMs());
             client.accept(Answer.refused(retryAfterMs));
@@ -440,7 +440,7 @@
     /** A line of figures. */
     public String statusLine() {
         PromiseTable.Figures figures = promises.figures();
-        Store.Figures disk = store.figures();
+        Store.Statistics disk = store.statistics();
         return "promises: " + figures.inHand() + " in hand, " + figures.acked() + " acked, " + figures.inDoubt()
                 + " in doubt; "
                 + figures.stored() + " answered from the record, " + figures.joined() + " joined, "
@@ -448,7 +448,8 @@
                 + " failed as in doubt, " + figures.forgottenByAge() + " forgotten by age, " + figures.forgottenBySize()
                 + " by size, " + figures.forgottenInDoubt() + " of them in doubt; " + unrecorded + " not recorded, "
                 + unacknowledged
-                + " answers not recorded; store " + disk.state() + ", " + disk.used() + " bytes, " + disk.keys()
+                + " answers not recorded; store " + disk.state() + ", " + disk.usedBytes() + " bytes, "
+                + disk.keyCount()
                 + " keys, "
                 + disk.confirmed() + " changes in " + disk.batches() + " writes, " + disk.compactions()
                 + " compactions, "
--- a/src/main/java/ivybank/store/Checkpoint.java
+++ b/src/main/java/ivybank/store/Checkpoint.java
@@ -6,81 +6,84 @@
 import java.nio.ByteBuffer;
 
 /**
- * The part of the index that a finished segment brings, beside it, so that a start need not read the records. It is worth
- * nothing by itself: whatever is wrong with it, the segment is read instead.
+ * The index entries of one sealed segment, in a file next to it, so that a start need not read the segment's records.
+ * A checkpoint is only a cache: if it is missing, corrupt or out of date, recovery reads the segment instead.
  */
 final class Checkpoint {
 
     private static final int MAGIC = 0x4956594b; // IVYK
     private static final int FORMAT = 1;
-    private static final int FIXED = 24;
-    private static final int MOST = 1 << 28;
+    private static final int HEADER_BYTES = 24;
+    private static final int MAX_FILE_BYTES = 1 << 28;
 
-    /** Takes the records of a segment, in order. */
+    /** Receives the records of a segment in order. */
     interface Visitor {
-        void record(byte kind, byte[] key, int at, int length);
+        void record(byte kind, byte[] key, int offset, int length);
     }
 
-    /** Collects a segment's records while they are written. */
+    /** Collects the entries of a segment while its records are written. */
     static final class Builder {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         private int count;
 
-        void add(byte kind, byte[] key, int at, int length) {
+        void add(byte kind, byte[] key, int offset, int length) {
             DataOutputStream out = new DataOutputStream(bytes);
             try {
                 out.writeByte(kind);
-                out.writeInt(at);
+                out.writeInt(offset);
                 out.writeInt(length);
                 out.writeShort(key.length);
                 out.write(key);
             } catch (IOException e) {
-                throw new IllegalStateException("memory can't fail to be written", e);
+                throw new IllegalStateException("writing to memory failed", e);
             }
             count++;
         }
 
-        /** Puts it beside its segment; not forced, since a torn one does no harm. */
+        /** Writes the checkpoint file. It is not forced, because a torn one is detected and ignored. */
         void write(Disk disk, Segment segment) throws IOException {
-            ByteBuffer all = ByteBuffer.allocate(FIXED + bytes.size() + 4);
-            all.putInt(MAGIC)
+            ByteBuffer content = ByteBuffer.allocate(HEADER_BYTES + bytes.size() + 4);
+            content.putInt(MAGIC)
                     .putInt(FORMAT)
                     .putLong(segment.number)
-                    .putInt(segment.confirmed)
+                    .putInt(segment.confirmedBytes)
                     .putInt(count)
                     .put(bytes.toByteArray());
-            all.putInt(Records.checksum(all.array(), 0, all.position()));
-            String name = Segment.checkpoint(segment.number);
+            content.putInt(Records.checksum(content.array(), 0, content.position()));
+            String name = Segment.checkpointFileName(segment.number);
             disk.delete(name);
             try (Disk.File file = disk.create(name)) {
-                Disk.writeFully(file, 0, all.flip());
+                Disk.writeFully(file, 0, content.flip());
             }
         }
     }
 
     private Checkpoint() {}
 
-    /** Shows what stands in it; false, and nothing shown, if it is not whole or not of this state of the segment. */
+    /**
+     * Passes the entries of a segment's checkpoint to the visitor. Returns false, without calling the visitor, if the
+     * checkpoint is corrupt or belongs to another state of the segment.
+     */
     static boolean read(Disk disk, Segment segment, Visitor visitor) throws IOException {
-        ByteBuffer bytes = Disk.readAll(disk, Segment.checkpoint(segment.number), MOST);
+        ByteBuffer bytes = Disk.readAll(disk, Segment.checkpointFileName(segment.number), MAX_FILE_BYTES);
         int end = bytes.limit() - 4;
-        if (end < FIXED
+        if (end < HEADER_BYTES
                 || bytes.getInt(0) != MAGIC
                 || bytes.getInt(4) != FORMAT
                 || bytes.getLong(8) != segment.number
-                || bytes.getInt(16) != segment.confirmed
+                || bytes.getInt(16) != segment.confirmedBytes
                 || bytes.getInt(end) != Records.checksum(bytes.array(), 0, end)) {
             return false;
         }
         int count = bytes.getInt(20);
-        bytes.position(FIXED);
+        bytes.position(HEADER_BYTES);
         for (int i = 0; i < count; i++) {
             byte kind = bytes.get();
-            int at = bytes.getInt();
+            int offset = bytes.getInt();
             int length = bytes.getInt();
             byte[] key = new byte[bytes.getShort() & 0xffff];
             bytes.get(key);
-            visitor.record(kind, key, at, length);
+            visitor.record(kind, key, offset, length);
         }
         return true;
     }
--- a/src/main/java/ivybank/store/Compaction.java
+++ b/src/main/java/ivybank/store/Compaction.java
@@ -5,31 +5,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Copies what lives in a run of finished segments into a new one, by bounded steps. */
+/**
+ * Copies the records that are still needed of a run of sealed segments into a new segment, in steps of bounded size.
+ */
 final class Compaction {
 
-    /** What is read, and forced, at a time: a batch that waits meanwhile waits no longer than this takes. */
-    private static final int STEP = 128 * 1024;
+    /** Bytes read and forced in one step. It bounds how long a step delays the next batch of writes. */
+    private static final int STEP_BYTES = 128 * 1024;
 
-    private record Move(Key key, Index.Place from, Index.Place to) {}
+    /** A record that was copied: its key, where it was, and where it is now. */
+    private record Relocation(Key key, Index.Location from, Index.Location to) {}
 
     private final Disk disk;
     private final Index index;
     private final List<Segment> sources;
-    private final boolean oldest;
+    private final boolean startsAtOldest;
     private final long number;
-    private final List<Move> moves = new ArrayList<>();
+    private final List<Relocation> relocations = new ArrayList<>();
     private final Checkpoint.Builder checkpoint = new Checkpoint.Builder();
     private Segment output;
-    private int source;
-    private int at = Records.HEADER;
+    private int sourceIndex;
+    private int offset = Records.SEGMENT_HEADER_BYTES;
 
-    /** @param oldest whether there is nothing before the run: then a deletion has nothing more to delete */
-    Compaction(Disk disk, Index index, List<Segment> sources, boolean oldest, long number) {
+    /**
+     * Creates a compaction of adjacent segments.
+     *
+     * @param startsAtOldest whether the run begins with the oldest segment; its deletions are then dropped too, because
+     *     no older segment can hold a record that they delete
+     * @param number of the new segment
+     */
+    Compaction(Disk disk, Index index, List<Segment> sources, boolean startsAtOldest, long number) {
         this.disk = disk;
         this.index = index;
         this.sources = sources;
-        this.oldest = oldest;
+        this.startsAtOldest = startsAtOldest;
         this.number = number;
     }
 
@@ -37,112 +46,112 @@
         return sources;
     }
 
-    /** What was written; null if nothing of the run lives. */
+    /** Returns the new segment, or null if no record of the run is still needed. */
     Segment output() {
         return output;
     }
 
-    int written() {
-        return output == null ? 0 : output.confirmed;
+    int writtenBytes() {
+        return output == null ? 0 : output.confirmedBytes;
     }
 
-    /** Goes on by a step; true when all is copied and forced. */
+    /** Performs one step. Returns true when all records that are still needed are copied and forced. */
     boolean step() throws IOException {
-        if (source == sources.size()) {
+        if (sourceIndex == sources.size()) {
             if (output != null) {
                 checkpoint.write(disk, output);
             }
             return true;
         }
-        Segment from = sources.get(source);
-        int length = Math.min(STEP, from.confirmed - at);
+        Segment from = sources.get(sourceIndex);
+        int length = Math.min(STEP_BYTES, from.confirmedBytes - offset);
         ByteBuffer bytes = ByteBuffer.allocate(length);
-        Disk.readFully(from.file, at, bytes);
+        Disk.readFully(from.file, offset, bytes);
         bytes.flip();
-        List<Records.Read> kept = new ArrayList<>();
-        int size = 0;
-        int next = at;
-        while (next < at + length) {
-            Records.Read read = Records.read(bytes, at, from.number, next);
-            if (read == null && next == at) {
-                read = longRecord(from, next); // longer than a step, or damaged
+        List<Records.StoredRecord> kept = new ArrayList<>();
+        int keptBytes = 0;
+        int nextOffset = offset;
+        while (nextOffset < offset + length) {
+            Records.StoredRecord record = Records.read(bytes, offset, from.number, nextOffset);
+            if (record == null && nextOffset == offset) {
+                record = readLongRecord(from, nextOffset); // exceeds one step, or is corrupt
             }
-            if (read == null) {
+            if (record == null) {
                 break;
             }
-            next = read.end();
-            if (lives(from, read)) {
-                kept.add(read);
-                size += read.length();
+            nextOffset = record.end();
+            if (isLive(from, record)) {
+                kept.add(record);
+                keptBytes += record.length();
             }
         }
-        copy(from, kept, size);
-        at = next;
-        if (at >= from.confirmed) {
-            source++;
-            at = Records.HEADER;
+        copy(from, kept, keptBytes);
+        offset = nextOffset;
+        if (offset >= from.confirmedBytes) {
+            sourceIndex++;
+            offset = Records.SEGMENT_HEADER_BYTES;
         }
         return false;
     }
 
-    private static Records.Read longRecord(Segment from, int at) throws IOException {
-        ByteBuffer prefix = ByteBuffer.allocate(Records.PREFIX);
-        Disk.readFully(from.file, at, prefix);
+    private static Records.StoredRecord readLongRecord(Segment from, int offset) throws IOException {
+        ByteBuffer prefix = ByteBuffer.allocate(Records.PREFIX_BYTES);
+        Disk.readFully(from.file, offset, prefix);
         int length = prefix.getInt(0);
-        Records.Read read = length < 0 || length > from.confirmed - at - Records.PREFIX
+        Records.StoredRecord record = length < 0 || length > from.confirmedBytes - offset - Records.PREFIX_BYTES
                 ? null
-                : from.read(at, Records.PREFIX + length);
-        if (read == null) {
+                : from.read(offset, Records.PREFIX_BYTES + length);
+        if (record == null) {
             throw new StoreException(
-                    Segment.name(from.number) + ": the record at byte " + at + " can't be read any more");
+                    Segment.fileName(from.number) + ": the record at byte " + offset + " can't be read any more");
         }
-        return read;
+        return record;
     }
 
-    private boolean lives(Segment from, Records.Read read) {
-        Index.Place place = index.get(new Key(read.key()));
-        return read.kind() == Records.PUT
-                ? place != null && place.segment() == from && place.at() == read.at()
-                : !oldest && place == null;
+    private boolean isLive(Segment from, Records.StoredRecord record) {
+        Index.Location location = index.get(new Key(record.key()));
+        return record.kind() == Records.PUT
+                ? location != null && location.segment() == from && location.offset() == record.offset()
+                : !startsAtOldest && location == null;
     }
 
-    private void copy(Segment from, List<Records.Read> kept, int size) throws IOException {
+    private void copy(Segment from, List<Records.StoredRecord> kept, int keptBytes) throws IOException {
         if (kept.isEmpty()) {
             return;
         }
         if (output == null) {
             output = Segment.create(disk, number);
         }
-        int batch = output.confirmed;
-        ByteBuffer bytes = ByteBuffer.allocate(size);
-        for (Records.Read read : kept) {
-            int place = batch + bytes.position();
-            Records.write(bytes, number, place, batch, read.kind(), read.key(), read.valueBytes());
-            checkpoint.add(read.kind(), read.key(), place, read.length());
-            if (read.kind() == Records.DELETE) {
-                output.deletions += read.length();
+        int batchStart = output.confirmedBytes;
+        ByteBuffer bytes = ByteBuffer.allocate(keptBytes);
+        for (Records.StoredRecord record : kept) {
+            int target = batchStart + bytes.position();
+            Records.write(bytes, number, target, batchStart, record.kind(), record.key(), record.valueBytes());
+            checkpoint.add(record.kind(), record.key(), target, record.length());
+            if (record.kind() == Records.DELETE) {
+                output.deletionBytes += record.length();
             } else {
-                moves.add(new Move(
-                        new Key(read.key()),
-                        new Index.Place(from, read.at(), read.length()),
-                        new Index.Place(output, place, read.length())));
+                relocations.add(new Relocation(
+                        new Key(record.key()),
+                        new Index.Location(from, record.offset(), record.length()),
+                        new Index.Location(output, target, record.length())));
             }
         }
-        Disk.writeFully(output.file, batch, bytes.flip());
+        Disk.writeFully(output.file, batchStart, bytes.flip());
         output.file.force();
-        output.confirmed += size;
+        output.confirmedBytes += keptBytes;
     }
 
-    /** Lets the index follow, but for keys that were written again or deleted meanwhile. */
-    void moveKeys() {
-        moves.forEach(move -> index.move(move.key, move.from, move.to));
+    /** Points the index to the copies, except for keys that were written or deleted during the compaction. */
+    void updateIndex() {
+        relocations.forEach(relocation -> index.move(relocation.key, relocation.from, relocation.to));
     }
 
     /**
-     * Gives up. The file stays until the next start sweeps it away: a manifest that names it may have reached the disk, although
-     * writing it was said to have failed.
+     * Abandons the compaction. The file of the new segment stays until the next start removes it: a manifest that
+     * lists it may have reached the disk although writing that manifest reported a failure.
      */
-    void leave() throws IOException {
+    void abort() throws IOException {
         if (output != null) {
             output.file.close();
         }
--- a/src/main/java/ivybank/store/Disk.java
+++ b/src/main/java/ivybank/store/Disk.java
@@ -6,47 +6,51 @@
 import java.util.List;
 
 /**
- * One flat folder, with no more than the store needs of it. What is not forced may be lost, wholly or in part and in any
- * order, when the power is cut; a new name, a rename or a deletion may be until the folder itself is forced.
+ * A flat folder of files, reduced to the operations that the store needs. Writes that are not forced may be lost when
+ * the power is cut, wholly or in part and in any order; creations, renames and deletions may be lost until the folder
+ * is forced.
  */
 public interface Disk extends Closeable {
 
-    /** An open file of the folder. */
+    /** An open file. */
     interface File extends Closeable {
 
         long size() throws IOException;
 
-        /** Reads into what is left of the buffer; how many bytes came, perhaps fewer than asked, -1 at the end. */
-        int read(long at, ByteBuffer into) throws IOException;
+        /**
+         * Reads into the remaining space of the buffer. Returns the number of bytes, possibly fewer, or -1 at the end.
+         */
+        int read(long offset, ByteBuffer into) throws IOException;
 
-        /** Writes what is left of the buffer; how many bytes went, perhaps fewer than given. */
-        int write(long at, ByteBuffer from) throws IOException;
+        /** Writes the remaining bytes of the buffer. Returns the number of bytes written, possibly fewer. */
+        int write(long offset, ByteBuffer from) throws IOException;
 
         void truncate(long size) throws IOException;
 
-        /** Returns when all that was written is on the disk. Once it has failed nothing is known of what was written. */
+        /** Returns when all writes are on the disk. After a failure the state of earlier unforced writes is unknown. */
         void force() throws IOException;
     }
 
     List<String> names() throws IOException;
 
-    /** Makes a file that must not be there yet. */
+    /** Creates a file that must not exist yet. */
     File create(String name) throws IOException;
 
-    /** Opens a file that must be there. */
+    /** Opens a file that must exist. */
     File open(String name) throws IOException;
 
-    /** Puts a file in the place of another as one step. */
+    /** Renames a file atomically, replacing a file of the new name. */
     void rename(String from, String to) throws IOException;
 
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Returns when the names of the folder are on the disk. */
+    /** Returns when all creations, renames and deletions are on the disk. */
     void forceNames() throws IOException;
 
     /** Reads until the buffer is full or the file ends. */
-    static void readFully(File file, long at, ByteBuffer into) throws IOException {
-        long next = at;
+    static void readFully(File file, long offset, ByteBuffer into) throws IOException {
+        long next = offset;
         while (into.hasRemaining()) {
             int count = file.read(next, into);
             if (count < 0) {
@@ -56,20 +60,20 @@
         }
     }
 
-    /** Writes all of the buffer. */
-    static void writeFully(File file, long at, ByteBuffer from) throws IOException {
-        long next = at;
+    /** Writes all remaining bytes of the buffer. */
+    static void writeFully(File file, long offset, ByteBuffer from) throws IOException {
+        long next = offset;
         while (from.hasRemaining()) {
             next += file.write(next, from);
         }
     }
 
-    /** A whole small file. */
-    static ByteBuffer readAll(Disk disk, String name, int most) throws IOException {
+    /** Reads a small file, up to a maximum size. */
+    static ByteBuffer readAll(Disk disk, String name, int maxBytes) throws IOException {
         try (File file = disk.open(name)) {
-            ByteBuffer all = ByteBuffer.allocate((int) Math.min(most, file.size()));
-            readFully(file, 0, all);
-            return all.flip();
+            ByteBuffer content = ByteBuffer.allocate((int) Math.min(maxBytes, file.size()));
+            readFully(file, 0, content);
+            return content.flip();
         }
     }
 }
--- a/src/main/java/ivybank/store/FileSystemDisk.java
+++ b/src/main/java/ivybank/store/FileSystemDisk.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of this machine, held by one process at a time. */
+/** A folder of the local file system, locked by one process at a time. */
 public final class FileSystemDisk implements Disk {
 
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
     private final FileChannel lockFile;
@@ -26,30 +26,31 @@
     }
 
     /**
-     * Takes a folder, which is made if it is not there; its owner alone may read what is made in it.
+     * Locks a folder, which is created if it does not exist.
      *
-     * @throws StoreException if another process holds it
+     * @throws StoreException if another process has locked it
      */
     public static FileSystemDisk lock(Path folder) throws IOException {
         Files.createDirectories(folder);
-        FileChannel file = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel lockFile =
+                FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
-            FileLock lock = file.tryLock();
+            FileLock lock = lockFile.tryLock();
             if (lock == null) {
                 throw new OverlappingFileLockException();
             }
         } catch (OverlappingFileLockException e) {
-            file.close();
+            lockFile.close();
             throw new StoreException(folder + " is held by another process, which must end first");
         }
-        return new FileSystemDisk(folder, file);
+        return new FileSystemDisk(folder, lockFile);
     }
 
     @Override
     public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(path -> path.getFileName().toString())
-                    .filter(name -> !name.equals(LOCK))
+                    .filter(name -> !name.equals(LOCK_FILE))
                     .sorted()
                     .toList();
         }
@@ -57,7 +58,7 @@
 
     @Override
     public File create(String name) throws IOException {
-        return new Opened(FileChannel.open(
+        return new OpenFile(FileChannel.open(
                 folder.resolve(name),
                 StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.READ,
@@ -66,7 +67,7 @@
 
     @Override
     public File open(String name) throws IOException {
-        return new Opened(FileChannel.open(folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
+        return new OpenFile(FileChannel.open(folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
     }
 
     @Override
@@ -95,7 +96,7 @@
         lockFile.close();
     }
 
-    private record Opened(FileChannel channel) implements File {
+    private record OpenFile(FileChannel channel) implements File {
 
         @Override
         public long size() throws IOException {
@@ -103,13 +104,13 @@
         }
 
         @Override
-        public int read(long at, ByteBuffer into) throws IOException {
-            return channel.read(into, at);
+        public int read(long offset, ByteBuffer into) throws IOException {
+            return channel.read(into, offset);
         }
 
         @Override
-        public int write(long at, ByteBuffer from) throws IOException {
-            return channel.write(from, at);
+        public int write(long offset, ByteBuffer from) throws IOException {
+            return channel.write(from, offset);
         }
 
         @Override
--- a/src/main/java/ivybank/store/Index.java
+++ b/src/main/java/ivybank/store/Index.java
@@ -4,48 +4,48 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** Where the record is that each key stands for; keeps count of what lives in each segment. */
+/** Maps each key to the location of its current record, and counts the live bytes of each segment. */
 final class Index {
 
-    /** The place of a record. */
-    record Place(Segment segment, int at, int length) {}
+    /** The position of a record. */
+    record Location(Segment segment, int offset, int length) {}
 
-    private final Map<Key, Place> places = new HashMap<>();
+    private final Map<Key, Location> locations = new HashMap<>();
 
-    Place get(Key key) {
-        return places.get(key);
+    Location get(Key key) {
+        return locations.get(key);
     }
 
     int size() {
-        return places.size();
+        return locations.size();
     }
 
-    void forEach(BiConsumer<Key, Place> each) {
-        places.forEach(each);
+    void forEach(BiConsumer<Key, Location> each) {
+        locations.forEach(each);
     }
 
-    void put(Key key, Place place) {
-        place.segment.live += place.length;
-        died(places.put(key, place));
+    void put(Key key, Location location) {
+        location.segment.liveBytes += location.length;
+        markDead(locations.put(key, location));
     }
 
-    /** A deletion stands at a place. */
+    /** Removes a key whose deletion was written to the segment. */
     void delete(Key key, Segment segment, int length) {
-        segment.deletions += length;
-        died(places.remove(key));
+        segment.deletionBytes += length;
+        markDead(locations.remove(key));
     }
 
-    /** Moves a key that still stands for the old place. */
-    void move(Key key, Place old, Place next) {
-        if (places.replace(key, old, next)) {
-            next.segment.live += next.length;
-            died(old);
+    /** Changes the location of a key, provided that the old one is still current. */
+    void move(Key key, Location old, Location updated) {
+        if (locations.replace(key, old, updated)) {
+            updated.segment.liveBytes += updated.length;
+            markDead(old);
         }
     }
 
-    private static void died(Place place) {
-        if (place != null) {
-            place.segment.live -= place.length;
+    private static void markDead(Location location) {
+        if (location != null) {
+            location.segment.liveBytes -= location.length;
         }
     }
 }
--- a/src/main/java/ivybank/store/Key.java
+++ b/src/main/java/ivybank/store/Key.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Bytes by which something is found again, 1 to 65,535 of them. */
+/** The key of a record: 1 to 65,535 bytes, compared by content. */
 final class Key {
 
     private final byte[] bytes;
--- a/src/main/java/ivybank/store/Limits.java
+++ b/src/main/java/ivybank/store/Limits.java
@@ -1,20 +1,20 @@
 package ivybank.store;
 
 /**
- * How large a store may get, in bytes.
+ * The size limits of a store, in bytes.
  *
- * @param disk all its files together, those that are being compacted included
- * @param segment one file of records, 4 KiB to 1 GiB
- * @param value the longest value of a key
- * @param waiting what may wait to be written
+ * @param disk all segments together, including the output of a running compaction
+ * @param segment one segment file, 4 KiB to 1 GiB
+ * @param value one value
+ * @param waiting queued writes together
  */
 public record Limits(long disk, int segment, int value, int waiting) {
 
-    /** Segments that are kept free for compaction and for deletions. */
-    static final int SPARE_SEGMENTS = 2;
+    /** Segments that are reserved for compaction and for deletions. */
+    static final int RESERVED_SEGMENTS = 2;
 
     public Limits {
-        if (disk < (SPARE_SEGMENTS + 2L) * segment || segment < 4096 || value < 0 || waiting < 1) {
+        if (disk < (RESERVED_SEGMENTS + 2L) * segment || segment < 4096 || value < 0 || waiting < 1) {
             throw new IllegalArgumentException("a disk of " + disk + " bytes is too small for segments of " + segment);
         }
     }
--- a/src/main/java/ivybank/store/Manifest.java
+++ b/src/main/java/ivybank/store/Manifest.java
@@ -6,96 +6,101 @@
 import java.util.List;
 
 /**
- * Which segments there are, the oldest first, and how much of each was forced when this was written; the last is the one that
- * is appended to. It is replaced as one step and holds itself twice, so that one damaged place does not take the store with it.
+ * The list of segments, oldest first, with the forced size of each at the time of writing. The last segment is the one
+ * that is appended to. The file is replaced atomically and holds two copies of its content, so that one corrupt place
+ * does not make the store unusable.
+ *
+ * @param nextSegmentNumber of the next segment to be created
+ * @param segments in use
+ * @param quarantined numbers of corrupt segments that were set aside
  */
-record Manifest(long next, List<Entry> segments, List<Long> quarantined) {
+record Manifest(long nextSegmentNumber, List<Entry> segments, List<Long> quarantined) {
 
     static final String NAME = "manifest";
-    static final String NEW = "manifest.new";
+    static final String TEMPORARY_NAME = "manifest.new";
     private static final int MAGIC = 0x4956594d; // IVYM
     private static final int FORMAT = 1;
-    private static final int FIXED = 32;
-    private static final int MOST = 1 << 20;
+    private static final int HEADER_BYTES = 32;
+    private static final int MAX_FILE_BYTES = 1 << 20;
 
-    /** A segment, and up to where it is confirmed; of all but the last that is all that counts. */
-    record Entry(long segment, int confirmed) {}
+    /** A segment and its confirmed size. Only the last segment may hold confirmed records beyond that size. */
+    record Entry(long segment, int confirmedBytes) {}
 
     Manifest {
         segments = List.copyOf(segments);
         quarantined = List.copyOf(quarantined);
     }
 
-    /** Of these segments as they are confirmed now. */
-    static Manifest of(long next, List<Segment> segments, List<Long> quarantined) {
+    /** Creates a manifest of the segments with their current confirmed sizes. */
+    static Manifest of(long nextSegmentNumber, List<Segment> segments, List<Long> quarantined) {
         return new Manifest(
-                next,
+                nextSegmentNumber,
                 segments.stream()
-                        .map(each -> new Entry(each.number, each.confirmed))
+                        .map(each -> new Entry(each.number, each.confirmedBytes))
                         .toList(),
                 quarantined);
     }
 
-    /** Puts it in the place of the one before. */
+    /** Replaces the manifest file. */
     void write(Disk disk) throws IOException {
-        int length = FIXED + 12 * segments.size() + 8 * quarantined.size() + 4;
+        int length = HEADER_BYTES + 12 * segments.size() + 8 * quarantined.size() + 4;
         ByteBuffer bytes = ByteBuffer.allocate(2 * length);
         for (int copy = 0; copy < 2; copy++) {
             int start = bytes.position();
             bytes.putInt(MAGIC)
                     .putInt(FORMAT)
                     .putInt(length)
-                    .putLong(next)
+                    .putLong(nextSegmentNumber)
                     .putInt(segments.size())
                     .putInt(quarantined.size())
                     .putInt(0);
-            segments.forEach(entry -> bytes.putLong(entry.segment).putInt(entry.confirmed));
+            segments.forEach(entry -> bytes.putLong(entry.segment).putInt(entry.confirmedBytes));
             quarantined.forEach(bytes::putLong);
             bytes.putInt(Records.checksum(bytes.array(), start, length - 4));
         }
-        disk.delete(NEW);
-        try (Disk.File file = disk.create(NEW)) {
+        disk.delete(TEMPORARY_NAME);
+        try (Disk.File file = disk.create(TEMPORARY_NAME)) {
             Disk.writeFully(file, 0, bytes.flip());
             file.force();
         }
-        disk.rename(NEW, NAME);
+        disk.rename(TEMPORARY_NAME, NAME);
         disk.forceNames();
     }
 
-    /** Reads it, by either of its copies. */
+    /** Reads the manifest from the first copy that is intact. */
     static Manifest read(Disk disk) throws IOException {
-        ByteBuffer bytes = Disk.readAll(disk, NAME, MOST);
-        for (int at = 0; at <= bytes.limit() - FIXED; at++) {
-            // The second copy is looked for, since the first one's length may be what is damaged.
-            Manifest found = bytes.getInt(at) == MAGIC ? copy(bytes, at) : null;
+        ByteBuffer bytes = Disk.readAll(disk, NAME, MAX_FILE_BYTES);
+        for (int start = 0; start <= bytes.limit() - HEADER_BYTES; start++) {
+            // The second copy is searched for, because the length of the first one may be corrupt.
+            Manifest found = bytes.getInt(start) == MAGIC ? parseCopy(bytes, start) : null;
             if (found != null) {
                 return found;
             }
         }
         throw new StoreException(
-                "the manifest can't be read (both copies are damaged): nothing is changed; put back a copy of the"
-                        + " folder, or move it away to begin with an empty one");
+                "the manifest can't be read (both copies are corrupt): nothing was changed; restore a copy of the"
+                        + " folder, or move it away to start with an empty one");
     }
 
-    private static Manifest copy(ByteBuffer bytes, int at) throws StoreException {
-        int length = bytes.getInt(at + 8);
-        if (length < FIXED + 4
-                || length > bytes.limit() - at
-                || Records.checksum(bytes.array(), at, length - 4) != bytes.getInt(at + length - 4)) {
+    private static Manifest parseCopy(ByteBuffer bytes, int start) throws StoreException {
+        int length = bytes.getInt(start + 8);
+        if (length < HEADER_BYTES + 4
+                || length > bytes.limit() - start
+                || Records.checksum(bytes.array(), start, length - 4) != bytes.getInt(start + length - 4)) {
             return null;
         }
-        Records.newerThan(bytes.getInt(at + 4), FORMAT, "the manifest");
+        Records.rejectNewerFormat(bytes.getInt(start + 4), FORMAT, "the manifest");
         List<Entry> segments = new ArrayList<>();
         List<Long> quarantined = new ArrayList<>();
-        int count = bytes.getInt(at + 20);
-        int aside = bytes.getInt(at + 24);
-        int next = at + FIXED;
-        for (int i = 0; i < count; i++, next += 12) {
-            segments.add(new Entry(bytes.getLong(next), bytes.getInt(next + 8)));
+        int segmentCount = bytes.getInt(start + 20);
+        int quarantinedCount = bytes.getInt(start + 24);
+        int position = start + HEADER_BYTES;
+        for (int i = 0; i < segmentCount; i++, position += 12) {
+            segments.add(new Entry(bytes.getLong(position), bytes.getInt(position + 8)));
         }
-        for (int i = 0; i < aside; i++, next += 8) {
-            quarantined.add(bytes.getLong(next));
+        for (int i = 0; i < quarantinedCount; i++, position += 8) {
+            quarantined.add(bytes.getLong(position));
         }
-        return new Manifest(bytes.getLong(at + 12), segments, quarantined);
+        return new Manifest(bytes.getLong(start + 12), segments, quarantined);
     }
 }
--- a/src/main/java/ivybank/store/Records.java
+++ b/src/main/java/ivybank/store/Records.java
@@ -4,30 +4,31 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a segment: a header, then records. docs/design/store.md has them one by one.
+ * Encodes and decodes a segment: a header, followed by records. docs/design/store.md describes the layout.
  *
- * <p>A record says where its batch begins. A batch is written only when the one before is forced, so a readable record proves
- * that all before its batch was on the disk once: what is unreadable there is damage, and not a write that a cut tore.
+ * <p>Each record holds the offset at which its batch begins. A batch is written only after the previous one was
+ * forced, so a readable record proves that everything before its batch was once on the disk. Unreadable bytes there
+ * are corruption and not a write that was torn by a power cut.
  */
 final class Records {
 
     static final int FORMAT = 1;
-    static final int HEADER = 24;
-    /** Length, checksum, and where the batch begins. */
-    static final int PREFIX = 12;
-    /** Kind, and the length of the key. */
-    static final int LEAST_BODY = 3;
+    static final int SEGMENT_HEADER_BYTES = 24;
+    /** Size of the length, the checksum and the batch offset of a record. */
+    static final int PREFIX_BYTES = 12;
+    /** Size of the kind and the key length of a record. */
+    static final int MIN_BODY_BYTES = 3;
 
     static final byte PUT = 1;
     static final byte DELETE = 2;
     private static final int MAGIC = 0x4956594c; // IVYL
-    private static final int HEADER_CHECKED = 20;
+    private static final int HEADER_CHECKSUM_OFFSET = 20;
     private static final int KEY_MASK = 0xffff;
 
-    /** A record that was read: where it is, and what of the segment it takes. */
-    record Read(byte kind, int at, int length, int batch, byte[] key, ByteBuffer value) {
+    /** A decoded record, with its offset and length in the segment. */
+    record StoredRecord(byte kind, int offset, int length, int batchStart, byte[] key, ByteBuffer value) {
         int end() {
-            return at + length;
+            return offset + length;
         }
 
         byte[] valueBytes() {
@@ -40,34 +41,37 @@
     private Records() {}
 
     static ByteBuffer header(long segment) {
-        ByteBuffer header = ByteBuffer.allocate(HEADER)
+        ByteBuffer header = ByteBuffer.allocate(SEGMENT_HEADER_BYTES)
                 .putInt(MAGIC)
                 .putInt(FORMAT)
                 .putLong(segment)
                 .putInt(0);
-        return header.putInt(checksum(header.array(), 0, HEADER_CHECKED)).flip();
+        return header.putInt(checksum(header.array(), 0, HEADER_CHECKSUM_OFFSET))
+                .flip();
     }
 
     /**
-     * Whether the segment begins with its own header.
+     * Returns whether the segment begins with its own header.
      *
-     * @throws StoreException if a newer program has written it
+     * @throws StoreException if the segment has a newer format
      */
     static boolean hasHeader(ByteBuffer bytes, long segment) throws StoreException {
-        if (bytes.limit() < HEADER
+        if (bytes.limit() < SEGMENT_HEADER_BYTES
                 || bytes.getInt(0) != MAGIC
                 || bytes.getLong(8) != segment
-                || bytes.getInt(HEADER_CHECKED) != checksum(bytes.array(), bytes.arrayOffset(), HEADER_CHECKED)) {
+                || bytes.getInt(HEADER_CHECKSUM_OFFSET)
+                        != checksum(bytes.array(), bytes.arrayOffset(), HEADER_CHECKSUM_OFFSET)) {
             return false;
         }
-        newerThan(bytes.getInt(4), FORMAT, "segment " + segment);
+        rejectNewerFormat(bytes.getInt(4), FORMAT, "segment " + segment);
         return true;
     }
 
-    static void newerThan(int found, int known, String where) throws StoreException {
-        if (found > known) {
-            throw new StoreException(where + " is of format " + found + ", this program knows up to " + known
-                    + ": start the newer program again");
+    /** Throws if the format that was found is newer than the newest known one. */
+    static void rejectNewerFormat(int found, int newestKnown, String where) throws StoreException {
+        if (found > newestKnown) {
+            throw new StoreException(where + " is of format " + found + ", this program knows up to " + newestKnown
+                    + "; start the newer program version again");
         }
     }
 
@@ -77,29 +81,29 @@
         return (int) checksum.getValue();
     }
 
-    static int size(byte[] key, byte[] value) {
-        return PREFIX + LEAST_BODY + key.length + value.length;
+    static int encodedBytes(byte[] key, byte[] value) {
+        return PREFIX_BYTES + MIN_BODY_BYTES + key.length + value.length;
     }
 
-    /** Appends a record that will stand at {@code at} of a segment; {@code value} is empty for a deletion. */
-    static void write(ByteBuffer into, long segment, int at, int batch, byte kind, byte[] key, byte[] value) {
+    /** Encodes a record that will be written at {@code offset} of a segment. {@code value} is empty for a deletion. */
+    static void write(ByteBuffer into, long segment, int offset, int batchStart, byte kind, byte[] key, byte[] value) {
         int start = into.position();
-        into.putInt(LEAST_BODY + key.length + value.length)
+        into.putInt(MIN_BODY_BYTES + key.length + value.length)
                 .putInt(0)
-                .putInt(batch)
+                .putInt(batchStart)
                 .put(kind)
                 .putShort((short) key.length)
                 .put(key)
                 .put(value);
-        into.putInt(start + 4, checksum(into, start, into.position() - start, segment, at));
+        into.putInt(start + 4, checksum(into, start, into.position() - start, segment, offset));
     }
 
-    /** Over the place, so that a block that was written to the wrong one is not taken for a record of it. */
-    private static int checksum(ByteBuffer bytes, int start, int length, long segment, int at) {
+    /** Computes a checksum that includes the position, so that a block written to a wrong position is not accepted. */
+    private static int checksum(ByteBuffer bytes, int start, int length, long segment, int offset) {
         CRC32C checksum = new CRC32C();
         checksum.update(ByteBuffer.allocate(16)
                 .putLong(segment)
-                .putInt(at)
+                .putInt(offset)
                 .putInt(bytes.getInt(start))
                 .flip());
         checksum.update(bytes.array(), bytes.arrayOffset() + start + 8, length - 8);
@@ -107,38 +111,39 @@
     }
 
     /**
-     * The record at {@code at} of a segment of which {@code bytes} begin at {@code from}; null if there is none that can be
-     * read.
+     * Decodes the record at {@code offset} of a segment. Returns null if there is no readable record.
      *
-     * @throws StoreException if it is whole and of a kind that this program does not know
+     * @param bytes a part of the segment, which begins at {@code bufferStart}
+     * @throws StoreException if the record is intact but of a kind that this program does not know
      */
-    static Read read(ByteBuffer bytes, int from, long segment, int at) throws StoreException {
-        int start = at - from;
-        int left = bytes.limit() - start;
-        if (left < PREFIX + LEAST_BODY) {
+    static StoredRecord read(ByteBuffer bytes, int bufferStart, long segment, int offset) throws StoreException {
+        int start = offset - bufferStart;
+        int available = bytes.limit() - start;
+        if (available < PREFIX_BYTES + MIN_BODY_BYTES) {
             return null;
         }
-        int body = bytes.getInt(start);
-        if (body < LEAST_BODY
-                || body > left - PREFIX
-                || checksum(bytes, start, PREFIX + body, segment, at) != bytes.getInt(start + 4)) {
+        int bodyBytes = bytes.getInt(start);
+        if (bodyBytes < MIN_BODY_BYTES
+                || bodyBytes > available - PREFIX_BYTES
+                || checksum(bytes, start, PREFIX_BYTES + bodyBytes, segment, offset) != bytes.getInt(start + 4)) {
             return null;
         }
-        byte kind = bytes.get(start + PREFIX);
-        newerThan(kind, DELETE, "a record of segment " + segment);
-        int keyLength = bytes.getShort(start + PREFIX + 1) & KEY_MASK;
-        if (keyLength > body - LEAST_BODY) {
+        byte kind = bytes.get(start + PREFIX_BYTES);
+        rejectNewerFormat(kind, DELETE, "a record of segment " + segment);
+        int keyLength = bytes.getShort(start + PREFIX_BYTES + 1) & KEY_MASK;
+        if (keyLength > bodyBytes - MIN_BODY_BYTES) {
             return null;
         }
         byte[] key = new byte[keyLength];
-        bytes.get(start + PREFIX + LEAST_BODY, key);
-        int value = start + PREFIX + LEAST_BODY + keyLength;
-        return new Read(
+        bytes.get(start + PREFIX_BYTES + MIN_BODY_BYTES, key);
+        int valueStart = start + PREFIX_BYTES + MIN_BODY_BYTES + keyLength;
+        return new StoredRecord(
                 kind,
-                at,
-                PREFIX + body,
+                offset,
+                PREFIX_BYTES + bodyBytes,
                 bytes.getInt(start + 8),
                 key,
-                bytes.slice(value, start + PREFIX + body - value).asReadOnlyBuffer());
+                bytes.slice(valueStart, start + PREFIX_BYTES + bodyBytes - valueStart)
+                        .asReadOnlyBuffer());
     }
 }
--- a/src/main/java/ivybank/store/Recovery.java
+++ b/src/main/java/ivybank/store/Recovery.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * Brings a folder back to a state in which it can be used, and says what was found. Done twice it finds the same; cut short
- * at any step, it starts over.
+ * Restores the store in a folder to a usable state and reports what was found. Recovery is idempotent, and one that is
+ * interrupted at any step can be run again.
  */
 final class Recovery {
 
-    private static final int MOST_SEGMENT = 1 << 30;
+    private static final int MAX_SEGMENT_BYTES = 1 << 30;
 
     private final Disk disk;
     private final boolean degrade;
@@ -21,28 +21,31 @@
     private final List<Long> quarantined = new ArrayList<>();
     private final List<Segment> segments = new ArrayList<>();
     private final Index index = new Index();
-    private Checkpoint.Builder tail = new Checkpoint.Builder();
-    private long next;
+    private Checkpoint.Builder activeCheckpoint = new Checkpoint.Builder();
+    private long nextSegmentNumber;
     private int cutBytes;
-    private int records;
-    private int checkpoints;
-    private boolean dry;
-    private boolean rewritten;
-    private boolean lastWasSealed;
+    private int recordCount;
+    private int checkpointCount;
+    private boolean readOnly;
+    /** True if the segments differ from those in the manifest, which is then rewritten. */
+    private boolean segmentsReplaced;
+
+    /** True if the active segment is missing or was replaced, so that a new one is needed. */
+    private boolean activeSegmentLost;
 
     private Recovery(Disk disk, boolean degrade) {
         this.disk = disk;
         this.degrade = degrade;
     }
 
-    /** The log as it is to go on, and the report. */
+    /** The recovered log and the report. */
     record Recovered(SegmentLog log, RecoveryReport report) {}
 
     /**
-     * Recovers.
+     * Recovers the store of a folder, or creates one if the folder is new.
      *
-     * @param degrade whether to go on without what is damaged, which is put aside, rather than refuse
-     * @throws StoreException if confirmed data are damaged and {@code degrade} is false, or the manifest is
+     * @param degrade whether to quarantine corrupt segments and go on without the lost data, rather than fail
+     * @throws StoreException if confirmed data are corrupt and {@code degrade} is false, or if the manifest is corrupt
      */
     static Recovered run(Disk disk, Limits limits, boolean degrade) throws IOException {
         Recovery recovery = new Recovery(disk, degrade);
@@ -57,21 +60,21 @@
     }
 
     /**
-     * Reads every record, changes nothing and tells what a start would find, damage included.
+     * Reads every record and reports what a start would find, including corrupt data, without changing anything.
      *
-     * @throws StoreException if there is no store, or one whose manifest can't be read
+     * @throws StoreException if there is no store, or if its manifest can't be read
      */
-    static RecoveryReport check(Disk disk) throws IOException {
+    static RecoveryReport verify(Disk disk) throws IOException {
         Recovery recovery = new Recovery(disk, false);
-        recovery.dry = true;
+        recovery.readOnly = true;
         List<String> names = disk.names();
         if (!names.contains(Manifest.NAME)) {
-            throw new StoreException("there is no store here: no manifest");
+            throw new StoreException("the folder holds no store: it has no manifest");
         }
         try {
             List<Manifest.Entry> entries = Manifest.read(disk).segments();
             for (int i = 0; i < entries.size(); i++) {
-                recovery.load(entries.get(i), i == entries.size() - 1, names);
+                recovery.loadSegment(entries.get(i), i == entries.size() - 1, names);
             }
             return recovery.report();
         } finally {
@@ -82,46 +85,50 @@
     }
 
     private RecoveryReport report() {
-        return new RecoveryReport(segments.size(), records, index.size(), checkpoints, cutBytes, damage);
+        return new RecoveryReport(segments.size(), recordCount, index.size(), checkpointCount, cutBytes, damage);
     }
 
     private Recovered recover(Limits limits) throws IOException {
         List<String> names = disk.names();
         if (!names.contains(Manifest.NAME)) {
-            begin(names);
+            initialize(names);
             names = disk.names();
         }
         Manifest manifest = Manifest.read(disk);
-        next = manifest.next();
+        nextSegmentNumber = manifest.nextSegmentNumber();
         quarantined.addAll(manifest.quarantined());
         for (int i = 0; i < manifest.segments().size(); i++) {
-            load(manifest.segments().get(i), i == manifest.segments().size() - 1, names);
+            loadSegment(manifest.segments().get(i), i == manifest.segments().size() - 1, names);
         }
         if (!damage.isEmpty() && !degrade) {
-            throw new StoreException("confirmed data are damaged, and nothing is changed: " + String.join("; ", damage)
-                    + "; put back a copy of the folder, or allow to go on without them");
+            throw new StoreException("confirmed data are corrupt; nothing was changed: " + String.join("; ", damage)
+                    + "; restore a copy of the folder, or allow the store to go on without these data");
         }
-        if (segments.isEmpty() || rewritten) {
-            if (segments.isEmpty() || rewritten && lastWasSealed) {
-                segments.add(Segment.create(disk, next++));
-                tail = new Checkpoint.Builder();
+        if (segments.isEmpty() || segmentsReplaced) {
+            if (segments.isEmpty() || segmentsReplaced && activeSegmentLost) {
+                segments.add(Segment.create(disk, nextSegmentNumber++));
+                activeCheckpoint = new Checkpoint.Builder();
             }
             disk.forceNames();
-            Manifest.of(next, segments, quarantined).write(disk);
+            Manifest.of(nextSegmentNumber, segments, quarantined).write(disk);
         }
-        sweep();
-        return new Recovered(new SegmentLog(disk, limits, segments, index, tail, next, quarantined), report());
+        deleteUnreferencedFiles();
+        return new Recovered(
+                new SegmentLog(disk, limits, segments, index, activeCheckpoint, nextSegmentNumber, quarantined),
+                report());
     }
 
-    /** A folder without a manifest is new, unless it holds records. */
-    private void begin(List<String> names) throws IOException {
+    /**
+     * Creates an empty store in a folder without a manifest. A folder that holds records is not new, and is rejected.
+     */
+    private void initialize(List<String> names) throws IOException {
         for (String name : names) {
             if (name.startsWith("segment-") || name.startsWith("quarantine-")) {
-                ByteBuffer bytes = Disk.readAll(disk, name, MOST_SEGMENT);
-                if (bytes.limit() > Records.HEADER) {
+                ByteBuffer bytes = Disk.readAll(disk, name, MAX_SEGMENT_BYTES);
+                if (bytes.limit() > Records.SEGMENT_HEADER_BYTES) {
                     throw new StoreException(
-                            "the manifest is missing, and " + name + " holds records: nothing is changed; put back"
-                                    + " a copy of the folder, or move it away to begin with an empty one");
+                            "the manifest is missing, and " + name + " holds records: nothing was changed; restore"
+                                    + " a copy of the folder, or move it away to start with an empty one");
                 }
                 disk.delete(name);
             }
@@ -129,159 +136,174 @@
         Segment first = Segment.create(disk, 0);
         first.file.close();
         disk.forceNames();
-        new Manifest(1, List.of(new Manifest.Entry(0, Records.HEADER)), List.of()).write(disk);
+        new Manifest(1, List.of(new Manifest.Entry(0, Records.SEGMENT_HEADER_BYTES)), List.of()).write(disk);
     }
 
-    private void load(Manifest.Entry entry, boolean last, List<String> names) throws IOException {
-        String name = Segment.name(entry.segment());
+    private void loadSegment(Manifest.Entry entry, boolean last, List<String> names) throws IOException {
+        String name = Segment.fileName(entry.segment());
         if (!names.contains(name)) {
             damage.add(name + " is missing");
-            rewritten = true;
-            lastWasSealed = last;
+            segmentsReplaced = true;
+            activeSegmentLost = last;
             return;
         }
-        Segment segment = new Segment(entry.segment(), disk.open(name), entry.confirmed());
+        Segment segment = new Segment(entry.segment(), disk.open(name), entry.confirmedBytes());
         segments.add(segment);
-        if (!dry
+        if (!readOnly
                 && !last
-                && names.contains(Segment.checkpoint(segment.number))
-                && segment.file.size() >= segment.confirmed
-                && Checkpoint.read(disk, segment, (kind, key, at, length) -> apply(segment, kind, key, at, length))) {
-            checkpoints++;
+                && names.contains(Segment.checkpointFileName(segment.number))
+                && segment.file.size() >= segment.confirmedBytes
+                && Checkpoint.read(
+                        disk, segment, (kind, key, offset, length) -> addToIndex(segment, kind, key, offset, length))) {
+            checkpointCount++;
             return;
         }
         scan(segment, last);
     }
 
-    private void apply(Segment segment, byte kind, byte[] key, int at, int length) {
-        records++;
+    private void addToIndex(Segment segment, byte kind, byte[] key, int offset, int length) {
+        recordCount++;
         if (kind == Records.PUT) {
-            index.put(new Key(key), new Index.Place(segment, at, length));
+            index.put(new Key(key), new Index.Location(segment, offset, length));
         } else {
             index.delete(new Key(key), segment, length);
         }
     }
 
-    /** Reads the records one by one; in the last segment also those that the manifest does not know of yet. */
+    /** Reads the records one by one. In the last segment this includes records beyond the size in the manifest. */
     private void scan(Segment segment, boolean last) throws IOException {
-        int size = (int) Math.min(MOST_SEGMENT, segment.file.size());
-        int end = last ? size : Math.min(size, segment.confirmed);
-        ByteBuffer bytes = segment.readTo(end);
-        List<Records.Read> good = new ArrayList<>();
-        int before = damage.size();
+        int size = (int) Math.min(MAX_SEGMENT_BYTES, segment.file.size());
+        int end = last ? size : Math.min(size, segment.confirmedBytes);
+        ByteBuffer bytes = segment.readUpTo(end);
+        List<Records.StoredRecord> readable = new ArrayList<>();
+        int damageBefore = damage.size();
         if (!Records.hasHeader(bytes, segment.number)) {
-            damage.add(Segment.name(segment.number) + ": its header can't be read");
+            damage.add(Segment.fileName(segment.number) + ": its header can't be read");
         }
-        int at = Records.HEADER;
-        while (at < end) {
-            Records.Read read = Records.read(bytes, 0, segment.number, at);
-            if (read != null) {
-                good.add(read);
-                at = read.end();
+        int offset = Records.SEGMENT_HEADER_BYTES;
+        while (offset < end) {
+            Records.StoredRecord record = Records.read(bytes, 0, segment.number, offset);
+            if (record != null) {
+                readable.add(record);
+                offset = record.end();
                 continue;
             }
-            int resumed = resume(bytes, segment, at);
-            boolean provedLater = isProvedLater(bytes, segment, at, resumed);
-            if (at < segment.confirmed || provedLater) {
-                int to = provedLater || !last ? resumed : Math.max(resumed, Math.min(segment.confirmed, end));
-                damage.add(Segment.name(segment.number) + ": bytes " + at + " to " + to + " can't be read");
-                at = to;
+            int resumeOffset = nextReadable(bytes, segment, offset);
+            boolean confirmedLater = isConfirmedByLaterRecord(bytes, segment, offset, resumeOffset);
+            if (offset < segment.confirmedBytes || confirmedLater) {
+                int to = confirmedLater || !last
+                        ? resumeOffset
+                        : Math.max(resumeOffset, Math.min(segment.confirmedBytes, end));
+                damage.add(Segment.fileName(segment.number) + ": bytes " + offset + " to " + to + " can't be read");
+                offset = to;
             } else {
-                break; // what a cut tore: it was never confirmed, nor was anything behind it
+                break; // torn by a power cut: neither it nor anything after it was ever confirmed
             }
         }
-        if (end < segment.confirmed) {
-            damage.add(
-                    Segment.name(segment.number) + ": ends at " + end + ", was confirmed up to " + segment.confirmed);
+        if (end < segment.confirmedBytes) {
+            damage.add(Segment.fileName(segment.number) + ": ends at " + end + ", was confirmed up to "
+                    + segment.confirmedBytes);
         }
-        if (damage.size() > before) {
+        if (damage.size() > damageBefore) {
             if (degrade) {
-                salvage(segment, good, last);
+                salvage(segment, readable, last);
             }
             return;
         }
-        for (Records.Read read : good) {
-            apply(segment, read.kind(), read.key(), read.at(), read.length());
+        for (Records.StoredRecord record : readable) {
+            addToIndex(segment, record.kind(), record.key(), record.offset(), record.length());
             if (last) {
-                tail.add(read.kind(), read.key(), read.at(), read.length());
+                activeCheckpoint.add(record.kind(), record.key(), record.offset(), record.length());
             }
         }
         if (last) {
-            cutBytes = size - at;
-            segment.confirmed = at;
-            if (dry) {
+            cutBytes = size - offset;
+            segment.confirmedBytes = offset;
+            if (readOnly) {
                 return;
             }
             if (cutBytes > 0) {
-                segment.file.truncate(at);
+                segment.file.truncate(offset);
             }
-            // What is read now may never have been forced, and is built upon from here on.
+            // Some of the records may not have been forced yet, and later batches rely on them.
             segment.file.force();
         }
     }
 
-    /** The next place at which a record can be read; the end if there is none. */
-    private static int resume(ByteBuffer bytes, Segment segment, int from) throws StoreException {
-        for (int at = from + 1; at <= bytes.limit() - Records.PREFIX - Records.LEAST_BODY; at++) {
-            if (Records.read(bytes, 0, segment.number, at) != null) {
-                return at;
+    /** Returns the next offset at which a record can be read, or the end of the segment if there is none. */
+    private static int nextReadable(ByteBuffer bytes, Segment segment, int from) throws StoreException {
+        for (int offset = from + 1; offset <= bytes.limit() - Records.PREFIX_BYTES - Records.MIN_BODY_BYTES; offset++) {
+            if (Records.read(bytes, 0, segment.number, offset) != null) {
+                return offset;
             }
         }
         return bytes.limit();
     }
 
-    /** Whether a later record proves that this place was forced: its batch begins behind it. */
-    private static boolean isProvedLater(ByteBuffer bytes, Segment segment, int at, int resumed) throws StoreException {
-        for (int from = resumed; from < bytes.limit(); ) {
-            Records.Read read = Records.read(bytes, 0, segment.number, from);
-            if (read == null) {
-                from = resume(bytes, segment, from);
-            } else if (read.batch() > at) {
+    /** Returns whether a later record proves that this offset was forced, because its batch begins after it. */
+    private static boolean isConfirmedByLaterRecord(ByteBuffer bytes, Segment segment, int offset, int searchFrom)
+            throws StoreException {
+        for (int from = searchFrom; from < bytes.limit(); ) {
+            Records.StoredRecord record = Records.read(bytes, 0, segment.number, from);
+            if (record == null) {
+                from = nextReadable(bytes, segment, from);
+            } else if (record.batchStart() > offset) {
                 return true;
             } else {
-                from = read.end();
+                from = record.end();
             }
         }
         return false;
     }
 
-    /** Writes what is good of a damaged segment into a new one, and leaves the damaged one aside. */
-    private void salvage(Segment damaged, List<Records.Read> good, boolean last) throws IOException {
-        Segment fresh = Segment.create(disk, next++);
-        segments.set(segments.size() - 1, fresh);
+    /** Copies the readable records of a corrupt segment into a new one, and quarantines the corrupt one. */
+    private void salvage(Segment damaged, List<Records.StoredRecord> readable, boolean last) throws IOException {
+        Segment replacement = Segment.create(disk, nextSegmentNumber++);
+        segments.set(segments.size() - 1, replacement);
         damaged.file.close();
         quarantined.add(damaged.number);
-        rewritten = true;
-        lastWasSealed = last;
-        ByteBuffer all =
-                ByteBuffer.allocate(good.stream().mapToInt(Records.Read::length).sum());
-        for (Records.Read read : good) {
-            int at = Records.HEADER + all.position();
-            Records.write(all, fresh.number, at, Records.HEADER, read.kind(), read.key(), read.valueBytes());
-            apply(fresh, read.kind(), read.key(), at, read.length());
+        segmentsReplaced = true;
+        activeSegmentLost = last;
+        ByteBuffer content = ByteBuffer.allocate(
+                readable.stream().mapToInt(Records.StoredRecord::length).sum());
+        for (Records.StoredRecord record : readable) {
+            int offset = Records.SEGMENT_HEADER_BYTES + content.position();
+            Records.write(
+                    content,
+                    replacement.number,
+                    offset,
+                    Records.SEGMENT_HEADER_BYTES,
+                    record.kind(),
+                    record.key(),
+                    record.valueBytes());
+            addToIndex(replacement, record.kind(), record.key(), offset, record.length());
         }
-        Disk.writeFully(fresh.file, Records.HEADER, all.flip());
-        fresh.file.force();
-        fresh.confirmed = Records.HEADER + all.limit();
+        Disk.writeFully(replacement.file, Records.SEGMENT_HEADER_BYTES, content.flip());
+        replacement.file.force();
+        replacement.confirmedBytes = Records.SEGMENT_HEADER_BYTES + content.limit();
     }
 
-    /** Removes what no manifest names: what a cut left of a step that was not finished, or had just been. */
-    private void sweep() throws IOException {
-        Set<String> kept = new HashSet<>(Set.of(Manifest.NAME));
+    /**
+     * Deletes files that the manifest does not list: remains of a step that a power cut interrupted, or of one just
+     * completed.
+     */
+    private void deleteUnreferencedFiles() throws IOException {
+        Set<String> referenced = new HashSet<>(Set.of(Manifest.NAME));
         segments.forEach(segment -> {
-            kept.add(Segment.name(segment.number));
-            kept.add(Segment.checkpoint(segment.number));
+            referenced.add(Segment.fileName(segment.number));
+            referenced.add(Segment.checkpointFileName(segment.number));
         });
         List<String> names = disk.names();
         for (long number : quarantined) {
-            kept.add(Segment.quarantine(number));
-            if (names.contains(Segment.name(number))) {
-                disk.rename(Segment.name(number), Segment.quarantine(number));
+            referenced.add(Segment.quarantineFileName(number));
+            if (names.contains(Segment.fileName(number))) {
+                disk.rename(Segment.fileName(number), Segment.quarantineFileName(number));
             }
         }
         for (String name : disk.names()) {
-            boolean ours = name.startsWith("segment-") || name.startsWith("checkpoint-") || name.startsWith("manifest");
-            if (ours && !kept.contains(name)) {
+            boolean isStoreFile =
+                    name.startsWith("segment-") || name.startsWith("checkpoint-") || name.startsWith("manifest");
+            if (isStoreFile && !referenced.contains(name)) {
                 disk.delete(name);
             }
         }
--- a/src/main/java/ivybank/store/RecoveryReport.java
+++ b/src/main/java/ivybank/store/RecoveryReport.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * What a start found.
+ * What recovery found at a start.
  *
- * @param segments files of records that are in use
- * @param records read one by one, or from checkpoints
- * @param keys that have a value
- * @param checkpoints segments that need not be read
- * @param cutBytes of an unconfirmed last write, which were cut off
- * @param damage what was confirmed once and can't be read any more, a line each; empty unless the store goes on all the same
+ * @param segments number of segments in use
+ * @param records number of records, whether read one by one or from checkpoints
+ * @param keys number of keys that have a value
+ * @param checkpoints number of segments that were loaded from their checkpoints
+ * @param cutBytes size of an unconfirmed last write, which was truncated
+ * @param damage one line for each piece of confirmed data that can't be read any more; a start reports any only if it
+ *     may go on without that data
  */
 public record RecoveryReport(int segments, int records, int keys, int checkpoints, int cutBytes, List<String> damage) {
 
@@ -18,11 +19,11 @@
         damage = List.copyOf(damage);
     }
 
-    /** In one line. */
+    /** Returns the report as one line for operators. */
     public String summary() {
-        return segments + " segments, " + keys + " keys of " + records + " records, " + checkpoints
-                + " segments by their"
-                + " checkpoints; " + cutBytes + " bytes of an unconfirmed last write cut off"
+        return segments + " segments, " + keys + " keys from " + records + " records, " + checkpoints
+                + " segments loaded from"
+                + " checkpoints; " + cutBytes + " bytes of an unconfirmed last write truncated"
                 + (damage.isEmpty() ? "" : "; DAMAGED: " + String.join("; ", damage));
     }
 }
--- a/src/main/java/ivybank/store/Segment.java
+++ b/src/main/java/ivybank/store/Segment.java
@@ -3,70 +3,75 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** One file of records. What it holds of keys that were written again or deleted since is dead. */
+/** One file of records. Records of keys that have since been overwritten or deleted are dead. */
 final class Segment {
 
-    private static final int LEAST_READ = 4096;
+    private static final int MIN_BUFFER_BYTES = 4096;
 
     final long number;
     final Disk.File file;
-    /** Up to where it is forced; nothing beyond counts. */
-    int confirmed;
-    /** Bytes of records that are still what their keys stand for. */
-    int live;
-    /** Bytes of deletions, which are needed for as long as an older segment may hold what they delete. */
-    int deletions;
+    /** End of the forced part of the file. Bytes beyond it are not part of the segment. */
+    int confirmedBytes;
+    /** Size of the records that the index refers to. */
+    int liveBytes;
+    /** Size of the deletions. They are needed for as long as an older segment may hold a record that they delete. */
+    int deletionBytes;
 
-    Segment(long number, Disk.File file, int confirmed) {
+    Segment(long number, Disk.File file, int confirmedBytes) {
         this.number = number;
         this.file = file;
-        this.confirmed = confirmed;
+        this.confirmedBytes = confirmedBytes;
     }
 
-    static String name(long number) {
+    static String fileName(long number) {
         return String.format("segment-%016x", number);
     }
 
-    static String checkpoint(long number) {
+    static String checkpointFileName(long number) {
         return String.format("checkpoint-%016x", number);
     }
 
-    static String quarantine(long number) {
+    static String quarantineFileName(long number) {
         return String.format("quarantine-%016x", number);
     }
 
-    /** A new, empty one, whose header is forced and whose name is not. */
+    /** Creates an empty segment. Its header is forced, its name in the folder is not. */
     static Segment create(Disk disk, long number) throws IOException {
-        Disk.File file = disk.create(name(number));
+        Disk.File file = disk.create(fileName(number));
         try {
             Disk.writeFully(file, 0, Records.header(number));
             file.force();
-            return new Segment(number, file, Records.HEADER);
+            return new Segment(number, file, Records.SEGMENT_HEADER_BYTES);
         } catch (IOException | RuntimeException e) {
             file.close();
             throw e;
         }
     }
 
-    /** Bytes that a compaction would drop; {@code oldest}: there is nothing before that a deletion could be needed for. */
-    int dead(boolean oldest) {
-        return confirmed - Records.HEADER - needed(oldest);
+    /**
+     * Returns the number of bytes that a compaction would drop.
+     *
+     * @param isOldest whether no older segment is left, so that deletions are not needed either
+     */
+    int deadBytes(boolean isOldest) {
+        return confirmedBytes - Records.SEGMENT_HEADER_BYTES - neededBytes(isOldest);
     }
 
-    int needed(boolean oldest) {
-        return live + (oldest ? 0 : deletions);
+    /** Returns the number of bytes that a compaction must keep. */
+    int neededBytes(boolean isOldest) {
+        return liveBytes + (isOldest ? 0 : deletionBytes);
     }
 
-    /** The record at a place; null if it can't be read any more. */
-    Records.Read read(int at, int length) throws IOException {
+    /** Reads the record at an offset. Returns null if it can't be read any more. */
+    Records.StoredRecord read(int offset, int length) throws IOException {
         ByteBuffer bytes = ByteBuffer.allocate(length);
-        Disk.readFully(file, at, bytes);
-        return Records.read(bytes.flip(), at, number, at);
+        Disk.readFully(file, offset, bytes);
+        return Records.read(bytes.flip(), offset, number, offset);
     }
 
-    /** All of it, up to so far. */
-    ByteBuffer readTo(int end) throws IOException {
-        ByteBuffer bytes = ByteBuffer.allocate(Math.max(end, LEAST_READ));
+    /** Reads the file from its start up to an offset. */
+    ByteBuffer readUpTo(int end) throws IOException {
+        ByteBuffer bytes = ByteBuffer.allocate(Math.max(end, MIN_BUFFER_BYTES));
         bytes.limit(end);
         Disk.readFully(file, 0, bytes);
         return bytes.flip();
--- a/src/main/java/ivybank/store/SegmentLog.java
+++ b/src/main/java/ivybank/store/SegmentLog.java
@@ -8,11 +8,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * The log and its index: appends batches, goes on to the next segment, compacts step by step. One thread uses it, and each
- * call blocks until the disk is done.
+ * The log of records and its index: appends batches, rolls over to new segments, and compacts step by step. It is used
+ * by one thread, and each call blocks until the disk has finished.
  *
- * <p>A write or force that fails is final for its segment: it counts up to what was confirmed before, and what comes next goes
- * into another. Nothing is tried again that the disk has said is lost.
+ * <p>A failed write or force is final for its segment: the segment ends where it was confirmed before, and the next
+ * batch goes to a new one. A write that the disk reported as failed is never retried in place.
  */
 final class SegmentLog implements Closeable {
 
@@ -21,11 +21,11 @@
     private final List<Segment> segments;
     private final List<Long> quarantined;
     private final Index index;
-    private Checkpoint.Builder tail;
-    private long next;
+    private Checkpoint.Builder activeCheckpoint;
+    private long nextSegmentNumber;
     private Segment active;
-    /** The last segment can't be written any more; the next append begins another. */
-    private boolean broken;
+    /** True if the active segment can't be written any more; the next append then begins a new one. */
+    private boolean activeBroken;
 
     private Compaction compaction;
     private long compactions;
@@ -36,20 +36,20 @@
             Limits limits,
             List<Segment> segments,
             Index index,
-            Checkpoint.Builder tail,
-            long next,
+            Checkpoint.Builder activeCheckpoint,
+            long nextSegmentNumber,
             List<Long> quarantined) {
         this.disk = disk;
         this.limits = limits;
         this.segments = segments;
         this.index = index;
-        this.tail = tail;
-        this.next = next;
+        this.activeCheckpoint = activeCheckpoint;
+        this.nextSegmentNumber = nextSegmentNumber;
         this.quarantined = quarantined;
         this.active = segments.get(segments.size() - 1);
     }
 
-    int keys() {
+    int keyCount() {
         return index.size();
     }
 
@@ -57,183 +57,192 @@
         return compactions;
     }
 
-    /** Writes and forces that have failed so far. */
+    /** Returns the number of writes and forces that have failed so far. */
     long failures() {
         return failures;
     }
 
-    /** Bytes of all segments, with those of a compaction under way. */
-    long used() {
-        long used = compaction == null ? 0 : compaction.written();
+    /** Returns the size of all segments, including the output of a running compaction. */
+    long usedBytes() {
+        long used = compaction == null ? 0 : compaction.writtenBytes();
         for (Segment segment : segments) {
-            used += segment.confirmed;
+            used += segment.confirmedBytes;
         }
         return used;
     }
 
-    /** Bytes that are left within the limit; deletions may use a part of what is spared for compaction. */
-    long room(boolean deletionsAlone) {
-        return limits.disk() - used() - (long) limits.segment() * (deletionsAlone ? 1 : Limits.SPARE_SEGMENTS);
+    /** Returns the free bytes within the limit. Deletions may use a part of the space reserved for compaction. */
+    long freeBytes(boolean forDeletion) {
+        return limits.disk() - usedBytes() - (long) limits.segment() * (forDeletion ? 1 : Limits.RESERVED_SEGMENTS);
     }
 
-    /** The value of a key; null if there is none. */
+    /** Returns the value of a key, or null if there is none. */
     byte[] get(Key key) throws IOException {
-        Index.Place place = index.get(key);
-        if (place == null) {
+        Index.Location location = index.get(key);
+        if (location == null) {
             return null;
         }
-        Records.Read read = place.segment().read(place.at(), place.length());
-        if (read == null || read.kind() != Records.PUT || !new Key(read.key()).equals(key)) {
-            throw new StoreException(Segment.name(place.segment().number) + ": the record at byte " + place.at()
-                    + " can't be read any more");
+        Records.StoredRecord record = location.segment().read(location.offset(), location.length());
+        if (record == null || record.kind() != Records.PUT || !new Key(record.key()).equals(key)) {
+            throw new StoreException(Segment.fileName(location.segment().number) + ": the record at byte "
+                    + location.offset() + " can't be read any more");
         }
-        return read.valueBytes();
+        return record.valueBytes();
     }
 
-    /** Shows all keys with their values; a value that can't be read any more ends it. */
+    /**
+     * Passes all keys and their values to a consumer.
+     *
+     * @throws StoreException at the first value that can't be read any more
+     */
     void forEach(BiConsumer<byte[], byte[]> each) throws IOException {
         List<Key> keys = new ArrayList<>(index.size());
-        index.forEach((key, place) -> keys.add(key));
+        index.forEach((key, location) -> keys.add(key));
         for (Key key : keys) {
             each.accept(key.bytes(), get(key));
         }
     }
 
-    /** Writes and forces a batch; when it returns all of it is confirmed, when it throws none of it counts. */
-    void append(List<Op> batch) throws IOException {
-        int size = batch.stream().mapToInt(Op::size).sum();
-        if (broken || active.confirmed + size > limits.segment() && active.confirmed > Records.HEADER) {
-            roll();
+    /** Writes and forces a batch: all of it is confirmed if this returns, and none of it if this throws. */
+    void append(List<Mutation> batch) throws IOException {
+        int size = batch.stream().mapToInt(Mutation::encodedBytes).sum();
+        if (activeBroken
+                || active.confirmedBytes + size > limits.segment()
+                        && active.confirmedBytes > Records.SEGMENT_HEADER_BYTES) {
+            rollOver();
         }
-        int from = active.confirmed;
+        int from = active.confirmedBytes;
         ByteBuffer bytes = ByteBuffer.allocate(size);
-        for (Op op : batch) {
+        for (Mutation mutation : batch) {
             Records.write(
                     bytes,
                     active.number,
                     from + bytes.position(),
                     from,
-                    op.isDeletion() ? Records.DELETE : Records.PUT,
-                    op.key().bytes(),
-                    op.bytes());
+                    mutation.isDeletion() ? Records.DELETE : Records.PUT,
+                    mutation.key().bytes(),
+                    mutation.valueBytes());
         }
         try {
             Disk.writeFully(active.file, from, bytes.flip());
             active.file.force();
         } catch (IOException e) {
-            breakOff();
+            discardUnconfirmed();
             throw e;
         }
-        active.confirmed += size;
-        int at = from;
-        for (Op op : batch) {
-            int length = op.size();
-            apply(op, at, length);
-            at += length;
+        active.confirmedBytes += size;
+        int offset = from;
+        for (Mutation mutation : batch) {
+            int length = mutation.encodedBytes();
+            apply(mutation, offset, length);
+            offset += length;
         }
     }
 
-    /** Leaves the segment as it was confirmed; what can't be cut off is past its end by the next manifest. */
-    private void breakOff() {
-        broken = true;
+    /** Truncates the segment to its confirmed size. If that fails, the next manifest still excludes the rest. */
+    private void discardUnconfirmed() {
+        activeBroken = true;
         failures++;
         try {
-            active.file.truncate(active.confirmed);
+            active.file.truncate(active.confirmedBytes);
         } catch (IOException e) {
             failures++;
         }
     }
 
-    private void apply(Op op, int at, int length) {
-        tail.add(op.isDeletion() ? Records.DELETE : Records.PUT, op.key().bytes(), at, length);
-        if (op.isDeletion()) {
-            index.delete(op.key(), active, length);
+    private void apply(Mutation mutation, int offset, int length) {
+        activeCheckpoint.add(
+                mutation.isDeletion() ? Records.DELETE : Records.PUT,
+                mutation.key().bytes(),
+                offset,
+                length);
+        if (mutation.isDeletion()) {
+            index.delete(mutation.key(), active, length);
         } else {
-            index.put(op.key(), new Index.Place(active, at, length));
+            index.put(mutation.key(), new Index.Location(active, offset, length));
         }
     }
 
-    /** Begins another segment where the last one can't be written any more. */
+    /** Begins a new segment if the active one can't be written any more. */
     void repair() throws IOException {
-        if (broken) {
-            roll();
+        if (activeBroken) {
+            rollOver();
         }
     }
 
-    /** Goes on in another segment, so that the last one can be compacted too. */
-    void finishSegment() throws IOException {
-        if (active.confirmed > Records.HEADER) {
-            roll();
+    /** Begins a new segment, so that the active one can be compacted too. */
+    void sealActiveSegment() throws IOException {
+        if (active.confirmedBytes > Records.SEGMENT_HEADER_BYTES) {
+            rollOver();
         }
     }
 
-    /** Finishes the last segment and begins another. */
-    private void roll() throws IOException {
-        Segment fresh;
+    /** Seals the active segment and begins a new one. */
+    private void rollOver() throws IOException {
+        Segment created;
         try {
-            fresh = Segment.create(disk, next++);
+            created = Segment.create(disk, nextSegmentNumber++);
         } catch (IOException e) {
             failures++;
             throw e;
         }
         try {
             disk.forceNames();
-            segments.add(fresh);
+            segments.add(created);
             writeManifest();
         } catch (IOException e) {
-            segments.remove(fresh);
-            fresh.file.close();
-            broken = true;
+            segments.remove(created);
+            created.file.close();
+            activeBroken = true;
             failures++;
             throw e;
         }
-        Segment finished = active;
-        Checkpoint.Builder builder = tail;
-        active = fresh;
-        tail = new Checkpoint.Builder();
-        broken = false;
+        Segment sealed = active;
+        Checkpoint.Builder builder = activeCheckpoint;
+        active = created;
+        activeCheckpoint = new Checkpoint.Builder();
+        activeBroken = false;
         try {
-            builder.write(disk, finished);
+            builder.write(disk, sealed);
         } catch (IOException e) {
-            failures++; // the start will read the segment instead
+            failures++; // the next start reads the segment instead
         }
     }
 
     private void writeManifest() throws IOException {
-        Manifest.of(next, segments, quarantined).write(disk);
+        Manifest.of(nextSegmentNumber, segments, quarantined).write(disk);
     }
 
-    // ---- Compaction.
-
-    /** Whether there is enough that is dead for a compaction to be worth its writing. */
+    /** Returns whether a compaction is running, or enough bytes are dead to justify the writes of a new one. */
     boolean wantsCompaction() {
-        return compaction != null || choose(limits.segment() / 2) != null;
+        return compaction != null || chooseRun(limits.segment() / 2) != null;
     }
 
     /**
-     * Goes on with a compaction by one bounded step, or begins one. The segments that it reads are finished: nothing that is
-     * appended meanwhile matters to it, but for the keys that have moved on when it ends.
+     * Performs one bounded step of the running compaction, or of a new one. A compaction reads sealed segments only,
+     * so that concurrent appends do not affect it, except that keys written meanwhile keep their new location when it
+     * ends.
      *
-     * @param leastDead bytes without which none is begun
+     * @param minDeadBytes bytes that must be dead for a new compaction to begin
      */
-    void compact(int leastDead) throws IOException {
+    void compact(int minDeadBytes) throws IOException {
         if (compaction == null) {
-            int[] run = choose(leastDead);
+            int[] run = chooseRun(minDeadBytes);
             if (run == null) {
                 return;
             }
-            compaction =
-                    new Compaction(disk, index, List.copyOf(segments.subList(run[0], run[1])), run[0] == 0, next++);
+            compaction = new Compaction(
+                    disk, index, List.copyOf(segments.subList(run[0], run[1])), run[0] == 0, nextSegmentNumber++);
         }
         try {
             if (compaction.step()) {
-                replace(compaction);
+                replaceRun(compaction);
                 compaction = null;
                 compactions++;
             }
         } catch (IOException e) {
             failures++;
-            compaction.leave();
+            compaction.abort();
             compaction = null;
             throw e;
         }
@@ -243,21 +252,24 @@
         return compaction != null;
     }
 
-    /** The run of finished segments with the most dead bytes whose live ones fit into one; null if it has too few. */
-    private int[] choose(int leastDead) {
+    /**
+     * Returns the run of adjacent sealed segments with the most dead bytes whose live bytes fit into one segment, as
+     * its start and exclusive end. Returns null if the run has too few dead bytes.
+     */
+    private int[] chooseRun(int minDeadBytes) {
         int[] best = null;
-        int most = Math.max(1, leastDead) - 1;
+        int mostDeadBytes = Math.max(1, minDeadBytes) - 1;
         for (int from = 0; from < segments.size() - 1; from++) {
-            int live = Records.HEADER;
-            int dead = 0;
+            int liveBytes = Records.SEGMENT_HEADER_BYTES;
+            int deadBytes = 0;
             for (int to = from; to < segments.size() - 1; to++) {
-                live += segments.get(to).needed(from == 0);
-                dead += segments.get(to).dead(from == 0);
-                if (live > limits.segment()) {
+                liveBytes += segments.get(to).neededBytes(from == 0);
+                deadBytes += segments.get(to).deadBytes(from == 0);
+                if (liveBytes > limits.segment()) {
                     break;
                 }
-                if (dead > most) {
-                    most = dead;
+                if (deadBytes > mostDeadBytes) {
+                    mostDeadBytes = deadBytes;
                     best = new int[] {from, to + 1};
                 }
             }
@@ -265,15 +277,15 @@
         return best;
     }
 
-    /** Puts the new segment in the place of the run. Until the manifest is replaced the run is what counts, then it is not. */
-    private void replace(Compaction done) throws IOException {
-        List<Segment> old = done.sources();
-        Segment output = done.output();
-        int place = segments.indexOf(old.get(0));
+    /** Replaces the run by the new segment. The change takes effect when the manifest is replaced. */
+    private void replaceRun(Compaction completed) throws IOException {
+        List<Segment> sources = completed.sources();
+        Segment output = completed.output();
+        int position = segments.indexOf(sources.get(0));
         List<Segment> before = List.copyOf(segments);
-        segments.removeAll(old);
+        segments.removeAll(sources);
         if (output != null) {
-            segments.add(place, output);
+            segments.add(position, output);
         }
         try {
             disk.forceNames();
@@ -283,20 +295,20 @@
             segments.addAll(before);
             throw e;
         }
-        done.moveKeys();
-        for (Segment each : old) {
+        completed.updateIndex();
+        for (Segment each : sources) {
             each.file.close();
-            disk.delete(Segment.name(each.number));
-            disk.delete(Segment.checkpoint(each.number));
+            disk.delete(Segment.fileName(each.number));
+            disk.delete(Segment.checkpointFileName(each.number));
         }
     }
 
-    /** Writes down how much is confirmed, so that a start can tell a cut from damage, and closes the files. */
+    /** Records the confirmed sizes, so that a start can tell a torn write from corruption, and closes the files. */
     @Override
     public void close() throws IOException {
         try {
             if (compaction != null) {
-                compaction.leave();
+                compaction.abort();
             }
             writeManifest();
         } finally {
@@ -307,8 +319,8 @@
         }
     }
 
-    /** Closes the files as they are. */
-    void abandon() throws IOException {
+    /** Closes the files as they are, without recording the confirmed sizes. */
+    void closeWithoutManifest() throws IOException {
         for (Segment segment : segments) {
             segment.file.close();
         }
--- a/src/main/java/ivybank/store/Store.java
+++ b/src/main/java/ivybank/store/Store.java
@@ -12,24 +12,25 @@
 import java.util.function.Consumer;
 
 /**
- * Keys and values that outlast a cut of the power. One thread of its own writes: all that waits goes out together and is
- * confirmed by one force. Callers never wait for the disk; each is told once, on that thread, what became of its change.
+ * A durable key-value store that survives a loss of power. A single writer thread writes all queued changes as one
+ * batch and confirms them with one force. Callers never wait for the disk; each is called back once, on the writer
+ * thread or at once, with the outcome of its change.
  */
 public final class Store implements AutoCloseable {
 
-    /** What became of a change. */
+    /** The outcome of a change. */
     public enum Outcome {
-        /** It is on the disk. */
+        /** The change is on the disk. */
         CONFIRMED,
-        /** Too much is waiting: nothing was tried. */
+        /** The queue is full; nothing was written. */
         BUSY,
-        /** The disk has no room for it, by the limits: nothing was tried. */
+        /** The change exceeds the size limit of the store; nothing was written. */
         FULL,
-        /** The disk failed, or the store is closed: it counts as not made. */
+        /** The disk failed, or the store is closed; the change does not take effect. */
         FAILED
     }
 
-    /** How the store is. */
+    /** The condition of the store. */
     public enum State {
         GOOD,
         FULL,
@@ -38,69 +39,73 @@
     }
 
     /**
-     * Figures for operators: waiting ones, bytes on the disk, keys, and counts since the start.
+     * Statistics for operators. Counts begin at the start of the process.
      *
-     * @param longestForceMs the longest that a batch took so far
+     * @param pending number of queued reads and writes
+     * @param usedBytes size of all segments
+     * @param confirmed number of confirmed changes
+     * @param failures number of failed writes and forces
+     * @param longestForceMs longest time that a batch has taken
      */
-    public record Figures(
+    public record Statistics(
             State state,
-            int waiting,
-            long used,
-            int keys,
+            int pending,
+            long usedBytes,
+            int keyCount,
             long confirmed,
             long batches,
             long compactions,
             long failures,
             double longestForceMs) {}
 
-    private static final int LONGEST_KEY = 65_535;
-    private static final long PAUSE_AFTER_FAILURE_MS = 200;
-    private static final long IDLE_MS = 1000;
-    /** A disk that answers nothing must not keep the process from its end. */
-    private static final long LONGEST_CLOSE_MS = 10_000;
+    private static final int MAX_KEY_BYTES = 65_535;
+    private static final long RETRY_DELAY_MS = 200;
+    private static final long IDLE_POLL_TIMEOUT_MS = 1000;
+    /** Bounds the wait in close, so that a disk that does not respond can't keep the process from exiting. */
+    private static final long CLOSE_TIMEOUT_MS = 10_000;
 
-    private static final double NANOS_IN_MS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
-    private record Waiting(Op op, Consumer<Outcome> done, int size) {}
+    private record PendingWrite(Mutation mutation, Consumer<Outcome> callback, int size) {}
 
-    private record Read(byte[] key, BiConsumer<byte[], IOException> done) {}
+    private record PendingRead(byte[] key, BiConsumer<byte[], IOException> callback) {}
 
     private final SegmentLog log;
     private final Limits limits;
     private final RecoveryReport report;
-    private final BlockingQueue<Object> queue = new LinkedBlockingQueue<>(); // bounded by what may wait, in bytes
-    private final AtomicLong waitingBytes = new AtomicLong();
+    private final BlockingQueue<Object> queue = new LinkedBlockingQueue<>(); // bounded by pendingBytes
+    private final AtomicLong pendingBytes = new AtomicLong();
     private final Thread writer;
     private volatile boolean closing;
-    private volatile Figures figures;
+    private volatile Statistics statistics;
     private volatile State state = State.GOOD;
-    private long confirmed;
-    private long batches;
+    private long confirmedCount;
+    private long batchCount;
     private double longestForceMs;
-    private long quietUntil;
+    private long retryAtNanos;
     private volatile IOException closeFailure;
 
     private Store(SegmentLog log, Limits limits, RecoveryReport report, ThreadFactory threads) {
         this.log = log;
         this.limits = limits;
         this.report = report;
-        this.writer = threads.newThread(this::write);
-        publish();
+        this.writer = threads.newThread(this::runWriter);
+        publishStatistics();
     }
 
     /**
-     * Recovers the store of a disk, which it takes over and closes in the end.
+     * Recovers the store of a disk and starts its writer. The store owns the disk and closes it.
      *
-     * @param degrade whether to go on without confirmed data that are damaged, which are put aside, rather than refuse
-     * @param stored is shown all that it holds, before this returns
-     * @throws StoreException in one line, if it can't be used as it is; nothing is changed then
+     * @param degrade whether to quarantine corrupt segments and go on without the lost data, rather than fail
+     * @param visitor receives all stored keys and values before this returns
+     * @throws StoreException if the store can't be used in its present state; nothing is changed then
      */
     public static Store open(
-            Disk disk, Limits limits, boolean degrade, BiConsumer<byte[], byte[]> stored, ThreadFactory threads)
+            Disk disk, Limits limits, boolean degrade, BiConsumer<byte[], byte[]> visitor, ThreadFactory threads)
             throws IOException {
         try {
             Recovery.Recovered recovered = Recovery.run(disk, limits, degrade);
-            recovered.log().forEach(stored);
+            recovered.log().forEach(visitor);
             Store store = new Store(recovered.log(), limits, recovered.report(), threads);
             store.writer.start();
             return store;
@@ -110,110 +115,108 @@
         }
     }
 
-    /** What the start found. */
+    /** Returns what recovery found. */
     public RecoveryReport report() {
         return report;
     }
 
-    /** Why the store could not be closed as it should; null if it was. */
+    /** Returns the failure of an orderly close, or null if there was none. */
     public IOException closeFailure() {
         return closeFailure;
     }
 
-    public Figures figures() {
-        return figures;
+    public Statistics statistics() {
+        return statistics;
     }
 
-    /** Sets a key's value; {@code done} is told once, at once if nothing can be tried. */
-    public void put(byte[] key, byte[] value, Consumer<Outcome> done) {
+    /** Writes a value to a key. {@code callback} is called once, before this returns if the change is rejected. */
+    public void put(byte[] key, byte[] value, Consumer<Outcome> callback) {
         if (value.length > limits.value()) {
             throw new IllegalArgumentException(
-                    "a value of " + value.length + " bytes, " + limits.value() + " are allowed");
+                    "value has " + value.length + " bytes; at most " + limits.value() + " are allowed");
         }
-        submit(new Op(checked(key), value), done);
+        submit(new Mutation(checkedKey(key), value), callback);
     }
 
-    /** Removes a key, which need not be there. */
-    public void delete(byte[] key, Consumer<Outcome> done) {
-        submit(new Op(checked(key), null), done);
+    /** Deletes a key, which need not exist. */
+    public void delete(byte[] key, Consumer<Outcome> callback) {
+        submit(new Mutation(checkedKey(key), null), callback);
     }
 
-    /** Reads a key's value, null if there is none, or why it can't be read any more. */
-    public void get(byte[] key, BiConsumer<byte[], IOException> done) {
+    /** Reads the value of a key. {@code callback} receives the value, or null if there is none, or the read failure. */
+    public void get(byte[] key, BiConsumer<byte[], IOException> callback) {
         if (closing) {
-            done.accept(null, new StoreException("the store is closed"));
+            callback.accept(null, new StoreException("the store is closed"));
         } else {
-            Read read = new Read(key, done);
+            PendingRead read = new PendingRead(key, callback);
             queue.add(read);
             if (state == State.CLOSED && queue.remove(read)) {
-                done.accept(null, new StoreException("the store is closed"));
+                callback.accept(null, new StoreException("the store is closed"));
             }
         }
     }
 
-    private static Key checked(byte[] key) {
-        if (key.length == 0 || key.length > LONGEST_KEY) {
+    private static Key checkedKey(byte[] key) {
+        if (key.length == 0 || key.length > MAX_KEY_BYTES) {
             throw new IllegalArgumentException(
-                    "a key of " + key.length + " bytes, 1 to " + LONGEST_KEY + " are allowed");
+                    "key has " + key.length + " bytes; 1 to " + MAX_KEY_BYTES + " are allowed");
         }
         return new Key(key);
     }
 
-    private void submit(Op op, Consumer<Outcome> done) {
-        int size = op.size();
+    private void submit(Mutation mutation, Consumer<Outcome> callback) {
+        int size = mutation.encodedBytes();
         if (closing) {
-            done.accept(Outcome.FAILED);
-        } else if (state == State.FULL && !op.isDeletion()) {
-            done.accept(Outcome.FULL);
-        } else if (waitingBytes.addAndGet(size) > limits.waiting()) {
-            waitingBytes.addAndGet(-size);
-            done.accept(Outcome.BUSY);
+            callback.accept(Outcome.FAILED);
+        } else if (state == State.FULL && !mutation.isDeletion()) {
+            callback.accept(Outcome.FULL);
+        } else if (pendingBytes.addAndGet(size) > limits.waiting()) {
+            pendingBytes.addAndGet(-size);
+            callback.accept(Outcome.BUSY);
         } else {
-            Waiting waiting = new Waiting(op, done, size);
-            queue.add(waiting);
-            if (state == State.CLOSED && queue.remove(waiting)) {
-                done.accept(Outcome.FAILED); // the writer ended in between
+            PendingWrite pending = new PendingWrite(mutation, callback, size);
+            queue.add(pending);
+            if (state == State.CLOSED && queue.remove(pending)) {
+                callback.accept(Outcome.FAILED); // the writer stopped concurrently
             }
         }
     }
 
-    // ---- The writer.
-
-    private void write() {
+    private void runWriter() {
         List<Object> taken = new ArrayList<>();
         try {
             while (!closing || !queue.isEmpty()) {
                 taken.clear();
-                Object first = queue.poll(pauseMs(), TimeUnit.MILLISECONDS);
+                Object first = queue.poll(pollTimeoutMs(), TimeUnit.MILLISECONDS);
                 if (first != null) {
                     taken.add(first);
-                    drain(taken);
-                    serve(taken);
+                    collectBatch(taken);
+                    process(taken);
                 }
                 if (!closing) {
-                    repair();
+                    retryDisk();
                     compact();
                 }
-                publish();
+                publishStatistics();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            end();
+            shutDown();
         }
     }
 
-    private long pauseMs() {
+    private long pollTimeoutMs() {
         return state == State.FAILING
-                ? PAUSE_AFTER_FAILURE_MS
-                : log.wantsCompaction() && System.nanoTime() >= quietUntil ? 0 : IDLE_MS;
+                ? RETRY_DELAY_MS
+                : log.wantsCompaction() && System.nanoTime() >= retryAtNanos ? 0 : IDLE_POLL_TIMEOUT_MS;
     }
 
-    /** Takes what waits, as far as one batch may go. */
-    private void drain(List<Object> taken) {
-        long size = taken.get(0) instanceof Waiting waiting ? waiting.size : 0;
+    /** Takes queued reads and writes, up to the maximum size of one batch. */
+    private void collectBatch(List<Object> taken) {
+        long size = taken.get(0) instanceof PendingWrite pending ? pending.size : 0;
         for (Object next = queue.peek(); next != null; next = queue.peek()) {
-            size += next instanceof Waiting waiting ? waiting.size : 0;
+            size += next instanceof PendingWrite pending ? pending.size : 0;
             if (size > limits.segment() / 2) {
                 return;
             }
@@ -221,155 +224,157 @@
         }
     }
 
-    private void serve(List<Object> taken) {
-        List<Waiting> batch = new ArrayList<>();
+    private void process(List<Object> taken) {
+        List<PendingWrite> batch = new ArrayList<>();
         int size = 0;
         boolean full = false;
-        long room = log.room(false);
-        long roomOfDeletions = log.room(true);
+        long freeBytes = log.freeBytes(false);
+        long freeBytesForDeletions = log.freeBytes(true);
         for (Object each : taken) {
-            if (each instanceof Waiting waiting) {
-                waitingBytes.addAndGet(-waiting.size);
-                if (size + waiting.size <= (waiting.op.isDeletion() ? roomOfDeletions : room)) {
-                    batch.add(waiting);
-                    size += waiting.size;
+            if (each instanceof PendingWrite pending) {
+                pendingBytes.addAndGet(-pending.size);
+                if (size + pending.size <= (pending.mutation.isDeletion() ? freeBytesForDeletions : freeBytes)) {
+                    batch.add(pending);
+                    size += pending.size;
                 } else {
                     full = true;
-                    tell(waiting, Outcome.FULL);
+                    notifyCaller(pending, Outcome.FULL);
                 }
             }
         }
         if (full) {
             state = State.FULL;
-        } else if (state == State.FULL && room >= limits.segment() / 2) {
+        } else if (state == State.FULL && freeBytes >= limits.segment() / 2) {
             state = State.GOOD;
         }
         if (!batch.isEmpty()) {
             append(batch);
         }
         for (Object each : taken) {
-            if (each instanceof Read read) {
+            if (each instanceof PendingRead read) {
                 read(read);
             }
         }
     }
 
-    private void append(List<Waiting> batch) {
-        long from = System.nanoTime();
+    private void append(List<PendingWrite> batch) {
+        long startNanos = System.nanoTime();
         Outcome outcome;
         try {
-            log.append(batch.stream().map(Waiting::op).toList());
+            log.append(batch.stream().map(PendingWrite::mutation).toList());
             outcome = Outcome.CONFIRMED;
-            confirmed += batch.size();
-            batches++;
+            confirmedCount += batch.size();
+            batchCount++;
             state = state == State.FAILING ? State.GOOD : state;
         } catch (IOException | RuntimeException e) {
             outcome = Outcome.FAILED;
             state = State.FAILING;
         }
-        longestForceMs = Math.max(longestForceMs, (System.nanoTime() - from) / NANOS_IN_MS);
-        publish(); // before anybody is told, who may look at them
-        for (Waiting each : batch) {
-            tell(each, outcome);
+        longestForceMs = Math.max(longestForceMs, (System.nanoTime() - startNanos) / NANOS_PER_MS);
+        publishStatistics(); // before the callbacks, which may read them
+        for (PendingWrite each : batch) {
+            notifyCaller(each, outcome);
         }
     }
 
-    /** Tells what became of a change: who fails on hearing it must not end the writer. */
-    private static void tell(Waiting change, Outcome outcome) {
+    /** Calls back with the outcome of a change. A failing callback must not stop the writer. */
+    private static void notifyCaller(PendingWrite change, Outcome outcome) {
         try {
-            change.done.accept(outcome);
+            change.callback.accept(outcome);
         } catch (RuntimeException | Error e) {
-            // It was told; what it makes of that is its own matter.
+            // The callback has the outcome; its own failure does not concern the store.
         }
     }
 
-    private void read(Read read) {
+    private void read(PendingRead read) {
         try {
-            read.done.accept(log.get(new Key(read.key)), null);
+            read.callback.accept(log.get(new Key(read.key)), null);
         } catch (IOException e) {
-            read.done.accept(null, e);
+            read.callback.accept(null, e);
         } catch (RuntimeException | Error e) {
-            // Who asked has failed on the answer: that is its own matter, and ends no writer.
+            // The callback failed; that does not concern the store and must not stop the writer.
         }
     }
 
-    /** Tries a disk that has failed again, or nobody would: what must be recorded is refused meanwhile. */
-    private void repair() {
-        if (state == State.FAILING && System.nanoTime() >= quietUntil) {
+    /** Tries a failed disk again. No write would do so, because requests that need one are refused in the meantime. */
+    private void retryDisk() {
+        if (state == State.FAILING && System.nanoTime() >= retryAtNanos) {
             try {
                 log.repair();
                 state = State.GOOD;
             } catch (IOException | RuntimeException e) {
-                quietUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PAUSE_AFTER_FAILURE_MS);
+                retryAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MS);
             }
         }
     }
 
     private void compact() {
-        if (System.nanoTime() < quietUntil) {
+        if (System.nanoTime() < retryAtNanos) {
             return;
         }
         try {
             log.compact(state == State.FULL ? 1 : limits.segment() / 2);
-            if (state == State.FULL && !log.isCompacting() && log.room(false) >= limits.segment() / 2) {
+            if (state == State.FULL && !log.isCompacting() && log.freeBytes(false) >= limits.segment() / 2) {
                 state = State.GOOD;
             }
         } catch (IOException | RuntimeException e) {
-            quietUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PAUSE_AFTER_FAILURE_MS);
+            retryAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MS);
         }
     }
 
-    private void publish() {
-        figures = new Figures(
+    private void publishStatistics() {
+        statistics = new Statistics(
                 state,
                 queue.size(),
-                log.used(),
-                log.keys(),
-                confirmed,
-                batches,
+                log.usedBytes(),
+                log.keyCount(),
+                confirmedCount,
+                batchCount,
                 log.compactions(),
                 log.failures(),
                 longestForceMs);
     }
 
-    private void end() {
+    private void shutDown() {
         state = State.CLOSED;
         try {
             log.close();
         } catch (IOException e) {
-            closeFailure = e; // all that anybody was told is confirmed; the next start reads the end as after a cut
+            closeFailure = e; // confirmed changes are safe; the next start treats the end as after a power cut
         }
-        publish();
-        failRest();
+        publishStatistics();
+        failPending();
     }
 
-    /** Writes what waits, and returns when it is on the disk and the folder is free. */
+    /**
+     * Writes all queued changes, and returns when they are on the disk and the folder is unlocked, or after a timeout.
+     */
     @Override
     public void close() {
         closing = true;
         boolean interrupted = false;
         queue.add(new Object()); // wakes the writer
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_CLOSE_MS);
-        while (writer.isAlive() && System.nanoTime() < untilNanos) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MS);
+        while (writer.isAlive() && System.nanoTime() < deadlineNanos) {
             try {
-                writer.join(PAUSE_AFTER_FAILURE_MS);
+                writer.join(RETRY_DELAY_MS);
             } catch (InterruptedException e) {
                 interrupted = true;
             }
         }
-        // Whoever came in between the last look and the end.
-        failRest();
+        // Reads and writes that were queued while the writer stopped.
+        failPending();
         if (interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void failRest() {
+    private void failPending() {
         for (Object each = queue.poll(); each != null; each = queue.poll()) {
-            if (each instanceof Waiting waiting) {
-                tell(waiting, Outcome.FAILED);
-            } else if (each instanceof Read read) {
-                read.done.accept(null, new StoreException("the store is closed"));
+            if (each instanceof PendingWrite pending) {
+                notifyCaller(pending, Outcome.FAILED);
+            } else if (each instanceof PendingRead read) {
+                read.callback.accept(null, new StoreException("the store is closed"));
             }
         }
     }
--- a/src/main/java/ivybank/store/StoreException.java
+++ b/src/main/java/ivybank/store/StoreException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A store that can't be used as it is, in one line for operators. */
+/** Reports that a store can't be used in its present state. The message is one line for operators. */
 public class StoreException extends IOException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/ivybank/store/StoreIdentity.java
+++ b/src/main/java/ivybank/store/StoreIdentity.java
@@ -9,110 +9,114 @@
 import java.util.zip.CRC32C;
 
 /**
- * Whose store a folder holds, which one it is, and how often it has been taken up. Kept beside the records, so that a store that is
- * missing, or another sidecar's, isn't taken for an empty one: what was promised in it would be forgotten in silence.
+ * Identifies the store in a folder. It is kept in a file next to the records, so that a missing store, or that of
+ * another sidecar, is not mistaken for an empty one: its promises would be lost without notice.
  *
- * @param owner the name of the sidecar
- * @param id drawn when the store was made
- * @param incarnation rises each time that it is taken up, from 1
+ * @param owner name of the sidecar
+ * @param id unique id, assigned when the store was created
+ * @param incarnation starts at 1 and increases each time that the store is acquired
  */
 public record StoreIdentity(String owner, String id, long incarnation) {
 
     static final String NAME = "identity";
-    private static final String NEW = "identity.new";
+    private static final String TEMPORARY_NAME = "identity.new";
     private static final String FIRST_LINE = "ivybank store identity 1";
-    private static final String OWNER = "owner ";
-    private static final String ID = "id ";
-    private static final String LIFE = "life ";
-    private static final int MOST = 4096;
+    private static final String OWNER_PREFIX = "owner ";
+    private static final String ID_PREFIX = "id ";
+    private static final String INCARNATION_PREFIX = "life ";
+    private static final int MAX_FILE_BYTES = 4096;
 
     /**
-     * Takes up the store of a folder: the next life is on the disk when this returns.
+     * Acquires the store of a folder. The next incarnation is on the disk when this returns.
      *
-     * @param mayMake whether one may be made where there is none
-     * @param ids draws the id of one that is made
-     * @param said takes one line where something is worth one
-     * @throws StoreException in one line, if the folder has none, another's, or only part of one; nothing is changed then
+     * @param mayCreate whether a store may be created if there is none
+     * @param ids supplies the id of a new store
+     * @param notices receives a line for the log if a store is created or gets its first identity
+     * @throws StoreException if the folder has no store, that of another sidecar, or an incomplete one; nothing is
+     *     changed then
      */
     public static StoreIdentity acquire(
-            Disk disk, String owner, boolean mayMake, Supplier<String> ids, Consumer<String> said) throws IOException {
+            Disk disk, String owner, boolean mayCreate, Supplier<String> ids, Consumer<String> notices)
+            throws IOException {
         List<String> names = disk.names();
-        boolean manifest = names.contains(Manifest.NAME);
-        boolean records =
+        boolean hasManifest = names.contains(Manifest.NAME);
+        boolean hasRecords =
                 names.stream().anyMatch(name -> name.startsWith("segment-") || name.startsWith("quarantine-"));
-        StoreIdentity before = names.contains(NAME) ? read(disk) : null;
-        if (before != null && !before.owner.equals(owner)) {
-            throw new StoreException("it is the store of " + before.owner + " (id " + before.id + "), and this is "
-                    + owner + ": nothing is changed; are two folders swapped?");
+        StoreIdentity existing = names.contains(NAME) ? read(disk) : null;
+        if (existing != null && !existing.owner.equals(owner)) {
+            throw new StoreException("the store belongs to " + existing.owner + " (id " + existing.id + "), and not to "
+                    + owner + "; nothing was changed; check whether two folders were swapped");
         }
-        if (before != null && !manifest && before.incarnation > 1) {
-            throw new StoreException("the store that was here (id " + before.id + ", taken up " + before.incarnation
-                    + " times) is lost but for its name" + (records ? " and records that no manifest names" : "")
-                    + ": nothing is changed; put back a copy of the folder, or move it away and make another"
-                    + " one by `store init`, and what it held is not known");
+        if (existing != null && !hasManifest && existing.incarnation > 1) {
+            throw new StoreException("the store (id " + existing.id + ", incarnation " + existing.incarnation
+                    + ") is lost except for its identity file" + (hasRecords ? " and records without manifest" : "")
+                    + "; nothing was changed; restore a copy of the folder, or move it away and create a new store by"
+                    + " `store init`; what the lost store held is then unknown");
         }
-        if (before == null && !manifest && !records && !mayMake) {
+        if (existing == null && !hasManifest && !hasRecords && !mayCreate) {
             throw new StoreException(
-                    "there is no store here: if there was one, it is lost; the first one of a sidecar is made by"
-                            + " `store init DIR --name " + owner
-                            + "`, or at a start with first_start = \"make\" in [store]");
+                    "the folder holds no store; if it held one, that one is lost; create the first store of a sidecar"
+                            + " by `store init DIR --name " + owner
+                            + "`, or by a start with first_start = \"make\" in [store]");
         }
-        if (before != null && !manifest) {
-            return before; // the power was cut while it was made: its first life goes on, or a second cut would make it
-            // a lost one
+        if (existing != null && !hasManifest) {
+            // Interrupted creation: counting up here would make the store look lost after another power cut.
+            return existing;
         }
-        StoreIdentity now = before == null
+        StoreIdentity acquired = existing == null
                 ? new StoreIdentity(owner, ids.get(), 1)
-                : new StoreIdentity(owner, before.id, before.incarnation + 1);
-        if (before == null) {
-            said.accept(
-                    manifest || records
-                            ? "it had no name, as those of earlier versions: from now on it is " + owner + "'s, id "
-                                    + now.id
-                            : "there was none: a first one is made, id " + now.id);
+                : new StoreIdentity(owner, existing.id, existing.incarnation + 1);
+        if (existing == null) {
+            notices.accept(
+                    hasManifest || hasRecords
+                            ? "no identity file, as in stores of earlier versions: assigned to " + owner + ", id "
+                                    + acquired.id
+                            : "no store found: created the first one, id " + acquired.id);
         }
-        now.write(disk);
-        return now;
+        acquired.write(disk);
+        return acquired;
     }
 
-    /** The identity of a folder; null if it has none. */
+    /** Returns the identity of the store in a folder, or null if it has none. */
     public static StoreIdentity readIfPresent(Disk disk) throws IOException {
         return disk.names().contains(NAME) ? read(disk) : null;
     }
 
     private static StoreIdentity read(Disk disk) throws IOException {
-        String text =
-                StandardCharsets.UTF_8.decode(Disk.readAll(disk, NAME, MOST)).toString();
+        String text = StandardCharsets.UTF_8
+                .decode(Disk.readAll(disk, NAME, MAX_FILE_BYTES))
+                .toString();
         List<String> lines = text.lines().toList();
         if (lines.size() == 5
-                && lines.get(1).startsWith(OWNER)
-                && lines.get(2).startsWith(ID)
-                && lines.get(3).matches(LIFE + "[0-9]{1,18}")) {
+                && lines.get(1).startsWith(OWNER_PREFIX)
+                && lines.get(2).startsWith(ID_PREFIX)
+                && lines.get(3).matches(INCARNATION_PREFIX + "[0-9]{1,18}")) {
             StoreIdentity identity = new StoreIdentity(
-                    lines.get(1).substring(OWNER.length()),
-                    lines.get(2).substring(ID.length()),
-                    Long.parseLong(lines.get(3).substring(LIFE.length())));
-            if (identity.text().equals(text)) { // to the last sign, the checksum among them
+                    lines.get(1).substring(OWNER_PREFIX.length()),
+                    lines.get(2).substring(ID_PREFIX.length()),
+                    Long.parseLong(lines.get(3).substring(INCARNATION_PREFIX.length())));
+            if (identity.text().equals(text)) { // compares every character, including the checksum
                 return identity;
             }
         }
         throw new StoreException("the file " + NAME
-                + " can't be read: nothing is changed; put back a copy of it, or remove it if you are sure"
-                + " that the folder is this sidecar's");
+                + " can't be read: nothing was changed; restore a copy of it, or remove it if you are sure"
+                + " that the folder belongs to this sidecar");
     }
 
     private String text() {
-        String text = FIRST_LINE + "\n" + OWNER + owner + "\n" + ID + id + "\n" + LIFE + incarnation + "\n";
+        String text = FIRST_LINE + "\n" + OWNER_PREFIX + owner + "\n" + ID_PREFIX + id + "\n" + INCARNATION_PREFIX
+                + incarnation + "\n";
         return text + "crc " + Long.toHexString(checksum(text)) + "\n";
     }
 
     private void write(Disk disk) throws IOException {
-        disk.delete(NEW);
-        try (Disk.File file = disk.create(NEW)) {
+        disk.delete(TEMPORARY_NAME);
+        try (Disk.File file = disk.create(TEMPORARY_NAME)) {
             Disk.writeFully(file, 0, ByteBuffer.wrap(text().getBytes(StandardCharsets.UTF_8)));
             file.force();
         }
-        disk.rename(NEW, NAME);
+        disk.rename(TEMPORARY_NAME, NAME);
         disk.forceNames();
     }
 
--- a/src/main/java/ivybank/store/StoreMaintenance.java
+++ b/src/main/java/ivybank/store/StoreMaintenance.java
@@ -3,40 +3,43 @@
 import java.io.IOException;
 import java.util.function.Supplier;
 
-/** What can be done with the folder of a store while no daemon holds it. */
+/** Operations on the folder of a store while no daemon has it locked. */
 public final class StoreMaintenance {
 
     private StoreMaintenance() {}
 
-    /** Reads every record and tells what a start would find; changes nothing. */
+    /** Reads every record and reports what recovery would find, without changing anything. */
     public static RecoveryReport verify(Disk disk) throws IOException {
         try (disk) {
-            return Recovery.check(disk);
+            return Recovery.verify(disk);
         }
     }
 
     /**
-     * Makes the first store of a sidecar.
+     * Creates the first store of a sidecar.
      *
-     * @throws StoreException if the folder has one, or what is left of one
+     * @param ids supplies the id of the new store
+     * @throws StoreException if the folder is not empty
      */
     public static StoreIdentity create(Disk disk, Limits limits, String owner, Supplier<String> ids)
             throws IOException {
         try {
             if (!disk.names().isEmpty()) {
                 throw new StoreException(
-                        "the folder is not empty: it has " + disk.names().get(0) + ", and nothing is changed");
+                        "the folder is not empty: it contains " + disk.names().get(0) + "; nothing was changed");
             }
-            StoreIdentity made = StoreIdentity.acquire(disk, owner, true, ids, line -> {});
-            Recovery.run(disk, limits, false).log().close(); // and the disk with it
-            return made;
+            StoreIdentity created = StoreIdentity.acquire(disk, owner, true, ids, line -> {});
+            Recovery.run(disk, limits, false).log().close(); // closes the disk too
+            return created;
         } catch (IOException | RuntimeException e) {
             disk.close();
             throw e;
         }
     }
 
-    /** Drops all that is dead and can be dropped; returns the bytes of records before and after. */
+    /**
+     * Drops all dead records that can be dropped. Returns the total size of all segments before and after, in bytes.
+     */
     public static long[] compact(Disk disk, Limits limits) throws IOException {
         SegmentLog log;
         try {
@@ -46,14 +49,14 @@
             throw e;
         }
         try (log) {
-            long before = log.used();
-            log.finishSegment();
+            long usedBefore = log.usedBytes();
+            log.sealActiveSegment();
             long used = Long.MAX_VALUE;
-            while (log.isCompacting() || log.used() < used) {
-                used = log.isCompacting() ? used : log.used();
+            while (log.isCompacting() || log.usedBytes() < used) {
+                used = log.isCompacting() ? used : log.usedBytes();
                 log.compact(1);
             }
-            return new long[] {before, log.used()};
+            return new long[] {usedBefore, log.usedBytes()};
         }
     }
 }
--- a/src/main/java/ivybank/store/package-info.java
+++ b/src/main/java/ivybank/store/package-info.java
@@ -1,2 +1,2 @@
-/** A store of keys and values that outlasts a loss of power; it knows nothing of requests. */
+/** A durable key-value store that survives a loss of power. It is independent of requests and their handling. */
 package ivybank.store;
--- a/src/test/java/ivybank/store/ModelTest.java
+++ b/src/test/java/ivybank/store/ModelTest.java
@@ -57,7 +57,7 @@
                     log = recover(disk, model, List.of());
                 }
                 case 2 -> { // power cut in the middle of a write
-                    List<Op> batch = batch(step.number);
+                    List<Mutation> batch = batch(step.number);
                     disk.cutAfter(step.number % 5);
                     boolean written = false;
                     try {
@@ -75,7 +75,7 @@
                 }
                 case 3 -> { // the disk fails
                     disk.failForces(1 + step.number % 3);
-                    List<Op> batch = batch(step.number);
+                    List<Mutation> batch = batch(step.number);
                     try {
                         log.append(batch);
                         apply(model, batch);
@@ -101,7 +101,7 @@
                     log = recover(disk, model, List.of());
                 }
                 default -> {
-                    List<Op> batch = batch(step.number);
+                    List<Mutation> batch = batch(step.number);
                     log.append(batch);
                     apply(model, batch);
                 }
@@ -110,13 +110,14 @@
         }
     }
 
-    private static SegmentLog recover(PowerCutDisk disk, Map<String, String> model, List<Op> tried) throws IOException {
+    private static SegmentLog recover(PowerCutDisk disk, Map<String, String> model, List<Mutation> tried)
+            throws IOException {
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         Map<String, String> found = content(log);
         boolean known = found.equals(model);
         Map<String, String> more = new TreeMap<>(model);
-        for (Op op : tried) {
-            apply(more, List.of(op));
+        for (Mutation mutation : tried) {
+            apply(more, List.of(mutation));
             known |= found.equals(more);
         }
         assertTrue(known, () -> "confirmed " + model + ", tried " + tried.size() + ", found " + found);
@@ -125,24 +126,24 @@
         return log;
     }
 
-    private static List<Op> batch(int number) {
-        List<Op> batch = new ArrayList<>();
+    private static List<Mutation> batch(int number) {
+        List<Mutation> batch = new ArrayList<>();
         for (int i = 0; i <= number % 3; i++) {
             byte[] key = ("k" + (number + i * 7) % 23).getBytes(StandardCharsets.UTF_8);
-            batch.add(new Op(
+            batch.add(new Mutation(
                     new Key(key),
                     number % 5 == 0 ? null : (number + "y".repeat(number % 600)).getBytes(StandardCharsets.UTF_8)));
         }
         return batch;
     }
 
-    private static void apply(Map<String, String> model, List<Op> batch) {
-        for (Op op : batch) {
-            String key = new String(op.key().bytes(), StandardCharsets.UTF_8);
-            if (op.isDeletion()) {
+    private static void apply(Map<String, String> model, List<Mutation> batch) {
+        for (Mutation mutation : batch) {
+            String key = new String(mutation.key().bytes(), StandardCharsets.UTF_8);
+            if (mutation.isDeletion()) {
                 model.remove(key);
             } else {
-                model.put(key, new String(op.bytes(), StandardCharsets.UTF_8));
+                model.put(key, new String(mutation.valueBytes(), StandardCharsets.UTF_8));
             }
         }
     }
--- a/src/test/java/ivybank/store/SegmentLogTest.java
+++ b/src/test/java/ivybank/store/SegmentLogTest.java
@@ -23,8 +23,8 @@
 
     private static final Limits LIMITS = new Limits(1 << 20, 4096, 1024, 1 << 16);
 
-    private static Op op(String key, String value) {
-        return new Op(
+    private static Mutation mutation(String key, String value) {
+        return new Mutation(
                 new Key(key.getBytes(StandardCharsets.UTF_8)),
                 value == null ? null : value.getBytes(StandardCharsets.UTF_8));
     }
@@ -36,22 +36,22 @@
         return all;
     }
 
-    private static void apply(Map<String, String> model, List<Op> batch) {
-        for (Op op : batch) {
-            String key = new String(op.key().bytes(), StandardCharsets.UTF_8);
-            if (op.isDeletion()) {
+    private static void apply(Map<String, String> model, List<Mutation> batch) {
+        for (Mutation mutation : batch) {
+            String key = new String(mutation.key().bytes(), StandardCharsets.UTF_8);
+            if (mutation.isDeletion()) {
                 model.remove(key);
             } else {
-                model.put(key, new String(op.bytes(), StandardCharsets.UTF_8));
+                model.put(key, new String(mutation.valueBytes(), StandardCharsets.UTF_8));
             }
         }
     }
 
-    private static List<Op> batch(SplittableRandom random, int turn) {
-        List<Op> batch = new ArrayList<>();
+    private static List<Mutation> batch(SplittableRandom random, int turn) {
+        List<Mutation> batch = new ArrayList<>();
         for (int i = 0; i <= random.nextInt(3); i++) {
             String key = "k" + random.nextInt(30);
-            batch.add(op(key, random.nextInt(4) == 0 ? null : turn + "x".repeat(random.nextInt(120))));
+            batch.add(mutation(key, random.nextInt(4) == 0 ? null : turn + "x".repeat(random.nextInt(120))));
         }
         return batch;
     }
@@ -81,10 +81,10 @@
         List<Map<String, String>> after = new ArrayList<>(List.of(Map.of())); // after each single change
         List<Written> written = new ArrayList<>();
         for (int turn = 0; turn < 170 || !log.isCompacting(); turn++) {
-            List<Op> batch = batch(random, turn);
+            List<Mutation> batch = batch(random, turn);
             log.append(batch);
-            for (Op op : batch) {
-                apply(model, List.of(op));
+            for (Mutation mutation : batch) {
+                apply(model, List.of(mutation));
                 after.add(new TreeMap<>(model));
             }
             written.add(new Written(last(disk), disk.bytes(last(disk)).length, after.size() - 1));
@@ -97,7 +97,7 @@
 
     private static String last(PowerCutDisk disk) throws IOException {
         List<Manifest.Entry> entries = Manifest.read(disk).segments();
-        return Segment.name(entries.get(entries.size() - 1).segment());
+        return Segment.fileName(entries.get(entries.size() - 1).segment());
     }
 
     /** Recovers twice; the second time finds what the first left. */
@@ -159,7 +159,7 @@
                         torn++;
                         assertEquals(active, name);
                         Written earlier = story.written.get(story.written.size() - 2);
-                        int before = earlier.file.equals(active) ? earlier.size : Records.HEADER;
+                        int before = earlier.file.equals(active) ? earlier.size : Records.SEGMENT_HEADER_BYTES;
                         assertTrue(story.isPrefix(found, name, before), "no more than the last batch is lost");
                     } else {
                         assertEquals(full, found, name + " flipped at " + at);
@@ -182,7 +182,7 @@
             PowerCutDisk disk = new PowerCutDisk();
             disk.cutAfter(steps);
             Map<String, String> confirmed = new TreeMap<>();
-            List<Op> tried = List.of();
+            List<Mutation> tried = List.of();
             boolean cut = false;
             try {
                 SegmentLog log = Recovery.run(disk, LIMITS, false).log();
@@ -212,8 +212,8 @@
             Map<String, String> found = recover(left);
             boolean known = found.equals(confirmed);
             Map<String, String> more = new TreeMap<>(confirmed);
-            for (Op op : tried) { // what was not confirmed may be there, in its order and no further
-                apply(more, List.of(op));
+            for (Mutation mutation : tried) { // what was not confirmed may be there, in its order and no further
+                apply(more, List.of(mutation));
                 known |= found.equals(more);
             }
             assertTrue(known, "cut " + cut + " after " + steps + " steps: " + confirmed + " but found " + found);
@@ -225,7 +225,7 @@
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         for (int i = 0; i < 60; i++) {
-            log.append(List.of(op("k" + i, "v".repeat(200))));
+            log.append(List.of(mutation("k" + i, "v".repeat(200))));
         }
         String first = disk.names().stream()
                 .filter(name -> name.startsWith("segment-"))
@@ -239,7 +239,7 @@
         StoreException refused = assertThrows(StoreException.class, () -> Recovery.run(refusedOn, LIMITS, false));
         assertTrue(
                 refused.getMessage().contains(first + ": bytes ")
-                        && refused.getMessage().contains("nothing is changed"),
+                        && refused.getMessage().contains("nothing was changed"),
                 refused.getMessage());
         assertArrayEquals(bytes, refusedOn.bytes(first));
         PowerCutDisk degraded = disk.copy();
@@ -250,7 +250,7 @@
                 bytes,
                 degraded.bytes(first.replace("segment", "quarantine")),
                 "what is damaged is kept to be looked at");
-        recovered.log().append(List.of(op("new", "1")));
+        recovered.log().append(List.of(mutation("new", "1")));
         Recovery.Recovered again = Recovery.run(degraded.copy(), LIMITS, false);
         assertEquals(60, content(again.log()).size());
         assertEquals(List.of(), again.report().damage(), "told once, and put aside");
@@ -265,10 +265,10 @@
     void aForceThatFailsIsFinalForItsSegmentAndNothingOfItComesBack() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
-        log.append(List.of(op("a", "1")));
+        log.append(List.of(mutation("a", "1")));
         disk.failForces(1);
-        assertThrows(IOException.class, () -> log.append(List.of(op("b", "2"))));
-        log.append(List.of(op("c", "3")));
+        assertThrows(IOException.class, () -> log.append(List.of(mutation("b", "2"))));
+        log.append(List.of(mutation("c", "3")));
         assertEquals(Map.of("a", "1", "c", "3"), content(log));
         assertEquals(2, Manifest.read(disk).segments().size(), "it goes on in another segment");
         assertEquals(Map.of("a", "1", "c", "3"), recover(disk.cut(new SplittableRandom(1))));
@@ -282,12 +282,12 @@
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         Map<String, String> model = new TreeMap<>();
         for (int i = 0; !log.wantsCompaction(); i++) {
-            List<Op> batch = List.of(op("k" + i % 7, i + "v".repeat(90)), op("once" + i, "w"));
+            List<Mutation> batch = List.of(mutation("k" + i % 7, i + "v".repeat(90)), mutation("once" + i, "w"));
             log.append(batch);
             apply(model, batch);
         }
         int full = 0;
-        long before = log.used();
+        long before = log.usedBytes();
         for (int room = 0; log.wantsCompaction() && room < 20_000; room += 97) {
             disk.room(room);
             try {
@@ -304,7 +304,7 @@
         while (log.wantsCompaction()) {
             log.compact(LIMITS.segment() / 2);
         }
-        assertTrue(log.used() < before);
+        assertTrue(log.usedBytes() < before);
         assertEquals(model, content(log));
         assertEquals(model, recover(disk.copy()));
     }
@@ -313,7 +313,7 @@
     void whatANewerProgramHasWrittenIsLeftAlone() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
-        log.append(List.of(op("a", "1")));
+        log.append(List.of(mutation("a", "1")));
         String name = last(disk);
         byte[] bytes = disk.bytes(name).clone();
         java.nio.ByteBuffer record = java.nio.ByteBuffer.allocate(100);
@@ -332,14 +332,15 @@
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         Map<String, String> model = new TreeMap<>();
         for (int i = 0; i < 12; i++) { // more than three segments in which all but one key lives
-            List<Op> batch = List.of(op("live" + i, "v".repeat(1000)), op(i == 0 ? "x" : "more" + i, "old"));
+            List<Mutation> batch =
+                    List.of(mutation("live" + i, "v".repeat(1000)), mutation(i == 0 ? "x" : "more" + i, "old"));
             log.append(batch);
             apply(model, batch);
         }
-        log.append(List.of(op("x", null)));
+        log.append(List.of(mutation("x", null)));
         model.remove("x");
         for (int i = 0; i < 60; i++) {
-            List<Op> batch = List.of(op("again", i + "w".repeat(300)));
+            List<Mutation> batch = List.of(mutation("again", i + "w".repeat(300)));
             log.append(batch);
             apply(model, batch);
         }
@@ -355,13 +356,13 @@
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         for (int i = 0; i < 400; i++) {
-            log.append(List.of(op("k" + i, "v".repeat(100))));
-            log.append(List.of(op("k" + i, null)));
+            log.append(List.of(mutation("k" + i, "v".repeat(100))));
+            log.append(List.of(mutation("k" + i, null)));
             for (int step = 0; step < 5 && log.wantsCompaction(); step++) {
                 log.compact(1024);
             }
         }
-        assertTrue(log.used() < 4L * LIMITS.segment(), "bounded: " + log.used());
+        assertTrue(log.usedBytes() < 4L * LIMITS.segment(), "bounded: " + log.usedBytes());
         assertEquals(Map.of(), recover(disk.copy()));
         assertFalse(log.compactions() == 0);
     }
--- a/src/test/java/ivybank/store/StoreBenchmark.java
+++ b/src/test/java/ivybank/store/StoreBenchmark.java
@@ -57,7 +57,7 @@
         long from = System.nanoTime();
         try (FileChannel file =
                 FileChannel.open(fresh("bare").resolve("log"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            byte[] record = new byte[Records.size(key(0), new byte[VALUE])];
+            byte[] record = new byte[Records.encodedBytes(key(0), new byte[VALUE])];
             while (System.nanoTime() - from < ROUND_NANOS) {
                 long began = System.nanoTime();
                 ByteBuffer batch = ByteBuffer.allocate(record.length * waiting);
@@ -209,7 +209,7 @@
             CountDownLatch all = new CountDownLatch(1_000_000);
             AtomicInteger busy = new AtomicInteger();
             for (int i = 0; i < 1_000_000; i++) {
-                while (store.figures().waiting() > 20_000) {
+                while (store.statistics().pending() > 20_000) {
                     Thread.sleep(1);
                 }
                 store.put(key(i), new byte[VALUE], outcome -> {
@@ -232,7 +232,7 @@
                 "recovered by checkpoints in %.0f ms, %d MB of memory for the index",
                 tookMs,
                 memory >> 20));
-        recovered.log().abandon();
+        recovered.log().closeWithoutManifest();
         deleteCheckpoints(folder);
         from = System.nanoTime();
         recovered = Recovery.run(FileSystemDisk.lock(folder), LIMITS, false);
@@ -241,7 +241,7 @@
                 "; without them in %.0f ms (%d keys)%n",
                 (System.nanoTime() - from) / 1e6,
                 recovered.report().keys()));
-        recovered.log().abandon();
+        recovered.log().closeWithoutManifest();
     }
 
     private static long used() throws InterruptedException {
