--- a/src/main/java/ivybank/promises/OfflinePromises.java
+++ b/src/main/java/ivybank/promises/OfflinePromises.java
@@ -11,52 +11,58 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** The promises in a folder that no daemon holds. */
+/** Lists and removes the promises of a store while no daemon has it locked. */
 public final class OfflinePromises {
 
-    /** One of them: the class and the name of its request (empty: it had none), since when in Unix ms. */
+    /**
+     * A promise with its request class, the name of the request (empty if it had none), its state and its Unix time.
+     */
     public record StoredPromise(String requestClass, String name, State state, double atMs) {}
 
     private OfflinePromises() {}
 
-    /** All of them, the oldest first; what was sent and not acked is in doubt. */
+    /** Returns all promises, oldest first. A request that was sent and not acked is in doubt. */
     public static List<StoredPromise> list(Disk disk, Limits limits) throws IOException {
-        List<StoredPromise> all = new ArrayList<>();
-        open(disk, limits, all).close();
-        all.sort(Comparator.comparingDouble(StoredPromise::atMs));
-        return all;
+        List<StoredPromise> promises = new ArrayList<>();
+        open(disk, limits, promises).close();
+        promises.sort(Comparator.comparingDouble(StoredPromise::atMs));
+        return promises;
     }
 
-    /** Forgets one, so that the same request is new; false if there is none of this class and name. */
+    /**
+     * Removes a promise, so that the same request counts as new. Returns false if there is none of this class and
+     * name.
+     */
     public static boolean clear(Disk disk, Limits limits, String requestClass, String name) throws IOException {
-        List<StoredPromise> all = new ArrayList<>();
-        try (Store store = open(disk, limits, all)) {
-            if (all.stream().noneMatch(kept -> kept.requestClass.equals(requestClass) && kept.name.equals(name))) {
+        List<StoredPromise> promises = new ArrayList<>();
+        try (Store store = open(disk, limits, promises)) {
+            if (promises.stream()
+                    .noneMatch(promise -> promise.requestClass.equals(requestClass) && promise.name.equals(name))) {
                 return false;
             }
-            CompletableFuture<Store.Outcome> done = new CompletableFuture<>();
-            store.delete((requestClass + "\n" + name).getBytes(StandardCharsets.UTF_8), done::complete);
-            if (done.join() != Store.Outcome.CONFIRMED) {
-                throw new IOException("the disk did not take it: " + done.join());
+            CompletableFuture<Store.Outcome> deleted = new CompletableFuture<>();
+            store.delete((requestClass + "\n" + name).getBytes(StandardCharsets.UTF_8), deleted::complete);
+            if (deleted.join() != Store.Outcome.CONFIRMED) {
+                throw new IOException("the store did not record the removal: " + deleted.join());
             }
             return true;
         }
     }
 
-    private static Store open(Disk disk, Limits limits, List<StoredPromise> all) throws IOException {
+    private static Store open(Disk disk, Limits limits, List<StoredPromise> promises) throws IOException {
         return Store.open(
                 disk,
                 limits,
                 false,
                 (key, value) -> {
-                    Entry entry = Entry.read(value);
+                    PromiseRecord record = PromiseRecord.decode(value);
                     String identity = new String(key, StandardCharsets.UTF_8);
-                    int split = identity.indexOf('\n');
-                    all.add(new StoredPromise(
-                            identity.substring(0, split),
-                            split == 0 ? "" : identity.substring(split + 1),
-                            entry.state() == State.ACKED ? State.ACKED : State.IN_DOUBT,
-                            entry.atMs()));
+                    int separator = identity.indexOf('\n');
+                    promises.add(new StoredPromise(
+                            identity.substring(0, separator),
+                            separator == 0 ? "" : identity.substring(separator + 1),
+                            record.state() == State.ACKED ? State.ACKED : State.IN_DOUBT,
+                            record.atMs()));
                 },
                 task -> new Thread(task, "store"));
     }
--- a/src/main/java/ivybank/promises/Entry.java
+++ b/src/main/java/ivybank/promises/PromiseRecord.java
@@ -5,19 +5,27 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** What is on record of an identity: sent or acked, since when (Unix time, ms), and the answer of one that is acked. */
-record Entry(State state, double atMs, Answer answer) {
+/** The stored state of a promise: sent or acked, its Unix time in ms, and the answer if it is acked. */
+record PromiseRecord(State state, double atMs, Answer answer) {
 
-    private static final byte SENT = 1;
-    private static final byte ACKED = 2;
+    private static final byte KIND_SENT = 1;
+    private static final byte KIND_ACKED = 2;
+    /** Kind and time. */
+    private static final int SENT_BYTES = 9;
+    /** Kind, time, status and the length of the content type. */
+    private static final int ACKED_HEADER_BYTES = 13;
 
-    byte[] bytes() {
+    /** Encodes the record for the store. */
+    byte[] encode() {
         if (answer == null) {
-            return ByteBuffer.allocate(9).put(SENT).putLong((long) atMs).array();
+            return ByteBuffer.allocate(SENT_BYTES)
+                    .put(KIND_SENT)
+                    .putLong((long) atMs)
+                    .array();
         }
         byte[] type = (answer.contentType() == null ? "" : answer.contentType()).getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(13 + type.length + answer.body().length)
-                .put(ACKED)
+        return ByteBuffer.allocate(ACKED_HEADER_BYTES + type.length + answer.body().length)
+                .put(KIND_ACKED)
                 .putLong((long) atMs)
                 .putShort((short) answer.status())
                 .putShort((short) type.length)
@@ -26,19 +34,20 @@
                 .array();
     }
 
-    static Entry read(byte[] bytes) {
+    /** Decodes a record of the store. */
+    static PromiseRecord decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         byte kind = in.get();
         long atMs = in.getLong();
-        if (kind == SENT) {
-            return new Entry(State.SENT, atMs, null);
+        if (kind == KIND_SENT) {
+            return new PromiseRecord(State.SENT, atMs, null);
         }
         int status = in.getShort();
         byte[] type = new byte[in.getShort()];
         in.get(type);
         byte[] body = new byte[in.remaining()];
         in.get(body);
-        return new Entry(
+        return new PromiseRecord(
                 State.ACKED,
                 atMs,
                 new Answer(status, type.length == 0 ? null : new String(type, StandardCharsets.UTF_8), body, 0));
--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -29,66 +29,67 @@
 import java.util.function.Consumer;
 
 /**
- * Stands between clients and the driver: lets requests through that are safe to repeat, and keeps the promise of the others.
- * That one may run is on the disk before its first byte goes to a node, its answer before the client gets its first byte.
- * All of it runs on the event loop; the store's thread only hands back to it.
+ * Handles requests between the clients and the dispatcher. Requests that are safe to repeat pass unchanged; for the
+ * others it keeps a promise. The promise that a request may run is on the disk before its first byte goes to a node,
+ * and its answer is on the disk before the client gets its first byte. All methods run on the event loop; callbacks of
+ * the store's thread are passed on to the event loop.
  */
 public final class PromiseRequestHandler implements RequestHandler, AutoCloseable {
 
-    /** When a promise that is still being written is given up, before the client's time is over. */
-    private static final double MARGIN_MS = 10;
+    /** Time before the client's deadline at which the wait for an answer that is being recorded ends. */
+    private static final double ANSWER_MARGIN_MS = 10;
 
-    private static final int FAILED = 502;
-    private static final int OUT_OF_TIME = 504;
-    private static final int IN_DOUBT = 409;
-    private static final double MICROS_IN_MS = 1000;
-    /** For so long an attempt that was given up may still be told of. */
-    private static final double DOUBT_MS = 10_000;
-    /** Begins the identities that are made here; no header can hold it. */
-    private static final char NAMELESS = '\n';
+    private static final int STATUS_BAD_GATEWAY = 502;
+    private static final int STATUS_GATEWAY_TIMEOUT = 504;
+    private static final int STATUS_CONFLICT = 409;
+    private static final double MICROS_PER_MS = 1000;
+    /** How long a late answer to an abandoned request is accepted. */
+    private static final double LATE_ANSWER_WINDOW_MS = 10_000;
+    /** First character of generated identities. A header value can't contain it. */
+    private static final char ANONYMOUS_PREFIX = '\n';
 
-    /** One that waits for an answer: the client of a request, or one that has asked for the same meanwhile. */
+    /** A client that waits for an answer: the first one of a request, or one that sent the same request meanwhile. */
     private static final class Waiter {
         final Consumer<Answer> client;
-        ScheduledFuture<?> patience;
-        /** What its client is known by when it leaves. */
+        ScheduledFuture<?> timeout;
+        /** The number by which clientLeft identifies the client. */
         int number;
 
-        boolean over;
+        boolean completed;
 
         Waiter(Consumer<Answer> client) {
             this.client = client;
         }
 
-        void tell(Answer answer) {
-            if (!over) {
-                over = true;
-                if (patience != null) {
-                    patience.cancel(false);
+        void complete(Answer answer) {
+            if (!completed) {
+                completed = true;
+                if (timeout != null) {
+                    timeout.cancel(false);
                 }
                 client.accept(answer);
             }
         }
 
-        void leave() {
-            over = true;
-            if (patience != null) {
-                patience.cancel(false);
+        void cancel() {
+            completed = true;
+            if (timeout != null) {
+                timeout.cancel(false);
             }
         }
     }
 
-    /** A request in hand that must not run twice. */
+    /** A pending request that must not run twice. */
     private final class Promise implements SendRecord {
         private final String identity;
         private final List<Waiter> waiters = new ArrayList<>(1);
-        private final List<Runnable> onRecord = new ArrayList<>(1);
-        private final List<Runnable> onFailure = new ArrayList<>(1);
+        private final List<Runnable> onRecorded = new ArrayList<>(1);
+        private final List<Runnable> onRecordFailed = new ArrayList<>(1);
         private int number;
-        private int out; // attempts that have not proved that they did not run
+        private int unresolvedAttempts; // attempts that have not proved that they did not run
         private boolean recording;
         private boolean recorded;
-        private boolean settled; // its end is known, or being written
+        private boolean settled; // the outcome is known, or is being recorded
 
         Promise(String identity) {
             this.identity = identity;
@@ -100,58 +101,58 @@
         }
 
         @Override
-        public void record(Runnable done, Runnable failed) {
-            onRecord.add(done);
-            onFailure.add(failed);
+        public void record(Runnable onSuccess, Runnable onError) {
+            onRecorded.add(onSuccess);
+            onRecordFailed.add(onError);
             if (recording) {
                 return;
             }
             recording = true;
             store.put(
                     key(identity),
-                    new Entry(State.SENT, clock.nowMs(), null).bytes(),
+                    new PromiseRecord(State.SENT, clock.nowMs(), null).encode(),
                     outcome -> loop.execute(() -> {
                         recording = false;
                         recorded = outcome == Store.Outcome.CONFIRMED || settings.letThrough();
-                        unrecorded += outcome == Store.Outcome.CONFIRMED ? 0 : 1;
-                        List<Runnable> told = List.copyOf(recorded ? onRecord : onFailure);
-                        onRecord.clear();
-                        onFailure.clear();
-                        told.forEach(PromiseRequestHandler.this::run);
+                        failedRecords += outcome == Store.Outcome.CONFIRMED ? 0 : 1;
+                        List<Runnable> callbacks = List.copyOf(recorded ? onRecorded : onRecordFailed);
+                        onRecorded.clear();
+                        onRecordFailed.clear();
+                        callbacks.forEach(PromiseRequestHandler.this::runCallback);
                     }));
         }
 
         @Override
         public void sending() {
-            out++;
+            unresolvedAttempts++;
             promises.sent(identity);
         }
 
         @Override
         public void ended(boolean proved) {
-            out -= proved ? 1 : 0;
+            unresolvedAttempts -= proved ? 1 : 0;
         }
 
-        boolean isNameless() {
-            return identity.charAt(0) == NAMELESS;
+        boolean isAnonymous() {
+            return identity.charAt(0) == ANONYMOUS_PREFIX;
         }
 
         @Override
         public void servedLate(Answer answer) {
             if (!settled) {
-                acknowledge(this, answer);
-            } else if (!isNameless() && inDoubt.remove(identity)) {
-                // It was given up as one that may have run; now it is known.
-                byte[] entry = new Entry(State.ACKED, clock.nowMs(), answer).bytes();
-                if (entry.length > longestEntry) {
+                recordAnswer(this, answer);
+            } else if (!isAnonymous() && awaitingLateAnswer.remove(identity)) {
+                // The request was abandoned in doubt; this answer resolves the doubt.
+                byte[] record = new PromiseRecord(State.ACKED, clock.nowMs(), answer).encode();
+                if (record.length > maxRecordBytes) {
                     return;
                 }
                 store.put(
                         key(identity),
-                        entry,
+                        record,
                         outcome -> loop.execute(() -> {
                             if (outcome == Store.Outcome.CONFIRMED) {
-                                promises.acked(identity, clock.nowMs());
+                                promises.acknowledged(identity, clock.nowMs());
                             }
                         }));
             }
@@ -164,28 +165,29 @@
     private final Clock clock;
     private final Log log;
     private final double retryAfterMs;
-    private final int longestEntry;
+    private final int maxRecordBytes;
     private final PromiseTable promises;
     private final Store store;
-    private final Map<String, Promise> inHand = new HashMap<>();
-    private final Map<Integer, Promise> byNumber = new HashMap<>();
-    /** Given up here as ones that may have run, whose attempts may still be told of. */
-    private final Set<String> inDoubt = new HashSet<>();
+    private final Map<String, Promise> pending = new HashMap<>();
+    private final Map<Integer, Promise> byRequestNumber = new HashMap<>();
+    /** Abandoned requests in doubt whose attempts may still be answered. */
+    private final Set<String> awaitingLateAnswer = new HashSet<>();
 
-    private RequestHandler driver;
-    private long nameless;
-    private int joined;
-    private long unrecorded;
-    private long unacknowledged;
+    private RequestHandler dispatcher;
+    private long anonymousCount;
+    private int joinedCount;
+    private long failedRecords;
+    private long failedAnswerRecords;
 
     /**
-     * Recovers what earlier processes have left on record. Blocks; to be called before the event loop serves.
+     * Recovers the promises of earlier processes. Blocks, and is therefore called before the event loop serves
+     * requests.
      *
-     * @throws IOException in one line, if the store can't be used as it is
+     * @throws IOException if the store can't be used in its present state; the message is one line
      */
     public PromiseRequestHandler(
             PromiseSettings settings,
-            Settings module,
+            Settings decisionSettings,
             Disk disk,
             Limits limits,
             boolean degrade,
@@ -194,51 +196,53 @@
             Log log)
             throws IOException {
         this.settings = settings;
-        this.classes = module.classes();
+        this.classes = decisionSettings.classes();
         this.loop = loop;
         this.clock = clock;
         this.log = log;
-        this.retryAfterMs = module.limits().maxRetryAfterMs();
-        this.longestEntry = limits.value();
+        this.retryAfterMs = decisionSettings.limits().maxRetryAfterMs();
+        this.maxRecordBytes = limits.value();
         this.promises = new PromiseTable(settings.keepMs(), settings.most(), this::forget);
-        List<Found> found = new ArrayList<>();
+        List<RecoveredPromise> recovered = new ArrayList<>();
         this.store = Store.open(
                 disk,
                 limits,
                 degrade,
                 (key, value) -> {
-                    Entry entry = Entry.read(value);
-                    found.add(new Found(new String(key, StandardCharsets.UTF_8), entry.state(), entry.atMs()));
+                    PromiseRecord record = PromiseRecord.decode(value);
+                    recovered.add(new RecoveredPromise(
+                            new String(key, StandardCharsets.UTF_8), record.state(), record.atMs()));
                 },
                 task -> {
                     Thread thread = new Thread(task, "store");
                     thread.setDaemon(true);
                     return thread;
                 });
-        found.sort(Comparator.comparingDouble(Found::atMs));
+        recovered.sort(Comparator.comparingDouble(RecoveredPromise::atMs));
         double nowMs = clock.nowMs();
-        // The wall clock may have been stepped since they were written: what is owed is owed for a whole time more.
-        found.forEach(each -> promises.recovered(each.identity, each.state, nowMs, nowMs));
+        // The wall clock may have been stepped since the records were written, so each is kept for a whole period
+        // again.
+        recovered.forEach(each -> promises.recovered(each.identity, each.state, nowMs, nowMs));
         promises.trim(nowMs);
         log.line("store: " + store.report().summary());
-        log.line("promises: " + promises.figures().acked() + " acked and "
-                + promises.figures().inDoubt() + " in doubt from before");
+        log.line("promises: " + promises.statistics().acked() + " acked and "
+                + promises.statistics().inDoubt() + " in doubt from before");
     }
 
-    /** Runs one of several that wait for the same: one that fails keeps none of the others from it. */
-    private void run(Runnable waiting) {
+    /** Runs one of several callbacks that wait for the same write. A failing one does not affect the others. */
+    private void runCallback(Runnable callback) {
         try {
-            waiting.run();
+            callback.run();
         } catch (RuntimeException | Error e) {
-            log.line("a request that waited for the store failed: " + e);
+            log.line("callback of a request that waited for the store failed: " + e);
         }
     }
 
-    private record Found(String identity, State state, double atMs) {}
+    private record RecoveredPromise(String identity, State state, double atMs) {}
 
-    /** Who takes what may go on. */
+    /** Sets the handler that requests are passed on to. */
     public void setDispatcher(RequestHandler handler) {
-        driver = handler;
+        dispatcher = handler;
     }
 
     private static byte[] key(String identity) {
@@ -247,57 +251,58 @@
 
     private void forget(String identity, State was) {
         if (was == State.IN_DOUBT) {
-            log.line("forgotten while in doubt, for its age or for want of room: " + identity);
+            log.line("forgot a request in doubt because of its age or the size limit: " + identity);
         }
-        store.delete(key(identity), outcome -> {}); // what stays is forgotten again at the next start
+        store.delete(key(identity), outcome -> {}); // if this fails, the next start forgets it again
     }
 
     @Override
     public boolean ready() {
-        return driver.ready();
+        return dispatcher.ready();
     }
 
     @Override
     public int unanswered() {
-        int held = 0;
-        for (Promise promise : inHand.values()) {
-            held += promise.settled ? 1 : 0; // answered by the driver, and its answer is being recorded
+        int recordingAnswers = 0;
+        for (Promise promise : pending.values()) {
+            recordingAnswers += promise.settled ? 1 : 0; // answered by the dispatcher; the answer is being recorded
         }
-        return driver.unanswered() + held;
+        return dispatcher.unanswered() + recordingAnswers;
     }
 
     @Override
     public boolean isOpen(String callId) {
-        return driver.isOpen(callId);
+        return dispatcher.isOpen(callId);
     }
 
     @Override
     public int request(ClientRequest request, Consumer<Answer> client) {
-        RequestClass spec = classes.get(request.requestClass());
-        if (spec.effect() == Effect.SAFE) {
-            return driver.request(request, client);
+        RequestClass requestClass = classes.get(request.requestClass());
+        if (requestClass.effect() == Effect.SAFE) {
+            return dispatcher.request(request, client);
         }
-        String named = request.identity();
-        // One without a name is never recognised again: what is promised of it is only that this sidecar sends it once.
-        String identity = named == null
-                ? NAMELESS + Long.toHexString((long) (clock.nowMs() * MICROS_IN_MS)) + "-" + ++nameless
-                : spec.name() + "\n" + named;
-        Decision decision = promises.ask(identity, clock.nowMs());
+        String requestIdentity = request.identity();
+        // A request without an identity can't be recognised again: the promise is only that this sidecar sends it once.
+        String identity = requestIdentity == null
+                ? ANONYMOUS_PREFIX + Long.toHexString((long) (clock.nowMs() * MICROS_PER_MS)) + "-" + ++anonymousCount
+                : requestClass.name() + "\n" + requestIdentity;
+        Decision decision = promises.admit(identity, clock.nowMs());
         switch (decision) {
             case STORED -> readAnswer(identity, request, client);
             case JOIN -> {
-                return join(inHand.get(identity), request, client);
+                return join(pending.get(identity), request, client);
             }
-            case IN_DOUBT -> client.accept(Answer.told(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
-            case NO_ROOM -> client.accept(Answer.refused(retryAfterMs));
+            case IN_DOUBT ->
+                client.accept(Answer.told(STATUS_CONFLICT, "it may have run, and is not sent again: in doubt"));
+            case AT_CAPACITY -> client.accept(Answer.refused(retryAfterMs));
             default -> {
-                return take(identity, request, client);
+                return start(identity, request, client);
             }
         }
         return 0;
     }
 
-    private int take(String identity, ClientRequest request, Consumer<Answer> client) {
+    private int start(String identity, ClientRequest request, Consumer<Answer> client) {
         Store.State state = store.statistics().state();
         if (state != Store.State.GOOD && !settings.letThrough()) {
             promises.ended(identity, true, clock.nowMs());
@@ -305,158 +310,168 @@
             return 0;
         }
         Promise promise = new Promise(identity);
-        inHand.put(identity, promise);
+        pending.put(identity, promise);
         Waiter first = new Waiter(client);
         promise.waiters.add(first);
         double deadlineMs = request.arrivedMs() + request.budgetMs();
-        int number = driver.request(request.with(promise), answer -> answered(promise, answer, deadlineMs));
+        int number = dispatcher.request(request.with(promise), answer -> onAnswer(promise, answer, deadlineMs));
         promise.number = number;
         first.number = number;
-        if (inHand.get(identity) == promise) {
-            byNumber.put(number, promise);
+        if (pending.get(identity) == promise) {
+            byRequestNumber.put(number, promise);
         }
         return number;
     }
 
-    /** The driver's final answer. */
-    private void answered(Promise promise, Answer answer, double deadlineMs) {
-        promise.waiters.forEach(waiter -> byNumber.remove(waiter.number));
+    /** Receives the final answer of the dispatcher. */
+    private void onAnswer(Promise promise, Answer answer, double deadlineMs) {
+        promise.waiters.forEach(waiter -> byRequestNumber.remove(waiter.number));
         if (answer.isServed()) {
-            bound(promise.waiters.get(0), deadlineMs);
-            acknowledge(promise, answer);
+            scheduleTimeout(promise.waiters.get(0), deadlineMs);
+            recordAnswer(promise, answer);
         } else {
             promise.settled = true;
-            end(promise, answer.isRefusal() || promise.out == 0);
-            tell(promise, answer);
+            finish(promise, answer.isRefusal() || promise.unresolvedAttempts == 0);
+            answerWaiters(promise, answer);
         }
     }
 
-    /** Lets the answer go when it is on the disk. */
-    private void acknowledge(Promise promise, Answer answer) {
+    /** Records an answer, and passes it to the waiting clients when it is on the disk. */
+    private void recordAnswer(Promise promise, Answer answer) {
         promise.settled = true;
-        if (promise.isNameless()) { // nobody can ask for it again
-            end(promise, true);
-            tell(promise, answer);
+        if (promise.isAnonymous()) { // no client can ask for it again
+            finish(promise, true);
+            answerWaiters(promise, answer);
             return;
         }
-        byte[] entry = new Entry(State.ACKED, clock.nowMs(), answer).bytes();
-        if (entry.length > longestEntry) {
-            notAcknowledged(promise, answer);
+        byte[] record = new PromiseRecord(State.ACKED, clock.nowMs(), answer).encode();
+        if (record.length > maxRecordBytes) {
+            onAnswerNotRecorded(promise, answer);
             return;
         }
         store.put(
                 key(promise.identity),
-                entry,
+                record,
                 outcome -> loop.execute(() -> {
                     if (outcome == Store.Outcome.CONFIRMED) {
-                        inHand.remove(promise.identity);
-                        promises.acked(promise.identity, clock.nowMs());
-                        tell(promise, answer);
+                        pending.remove(promise.identity);
+                        promises.acknowledged(promise.identity, clock.nowMs());
+                        answerWaiters(promise, answer);
                     } else {
-                        notAcknowledged(promise, answer);
+                        onAnswerNotRecorded(promise, answer);
                     }
                 }));
     }
 
-    private void notAcknowledged(Promise promise, Answer answer) {
-        unacknowledged++;
-        end(promise, false);
-        tell(
+    private void onAnswerNotRecorded(Promise promise, Answer answer) {
+        failedAnswerRecords++;
+        finish(promise, false);
+        answerWaiters(
                 promise,
                 settings.letThrough()
                         ? answer
-                        : Answer.told(FAILED, "it has run, and its answer could not be recorded: in doubt"));
+                        : Answer.told(
+                                STATUS_BAD_GATEWAY, "it has run, and its answer could not be recorded: in doubt"));
     }
 
-    /** It has ended without an answer that is on record. */
-    private void end(Promise promise, boolean proved) {
-        inHand.remove(promise.identity);
+    /** Ends a request without a recorded answer. {@code proved}: it is certain that the request did not run. */
+    private void finish(Promise promise, boolean proved) {
+        pending.remove(promise.identity);
         if (promises.mayHaveRun(promise.identity) && !proved) {
-            inDoubt.add(promise.identity);
-            after(settings.keepMs() > DOUBT_MS ? DOUBT_MS : settings.keepMs(), () -> inDoubt.remove(promise.identity));
+            awaitingLateAnswer.add(promise.identity);
+            schedule(
+                    settings.keepMs() > LATE_ANSWER_WINDOW_MS ? LATE_ANSWER_WINDOW_MS : settings.keepMs(),
+                    () -> awaitingLateAnswer.remove(promise.identity));
         }
         promises.ended(promise.identity, proved, clock.nowMs());
     }
 
-    private void tell(Promise promise, Answer answer) {
-        promise.waiters.forEach(waiter -> waiter.tell(answer));
+    private void answerWaiters(Promise promise, Answer answer) {
+        promise.waiters.forEach(waiter -> waiter.complete(answer));
     }
 
-    /** Bounds its wait by its client's time. */
-    private void bound(Waiter waiter, double deadlineMs) {
-        waiter.patience = after(
-                deadlineMs - MARGIN_MS - clock.nowMs(),
-                () -> waiter.tell(Answer.told(OUT_OF_TIME, "it is in hand, and its answer is not there yet")));
+    /** Schedules a failure for a waiting client shortly before its deadline. */
+    private void scheduleTimeout(Waiter waiter, double deadlineMs) {
+        waiter.timeout = schedule(
+                deadlineMs - ANSWER_MARGIN_MS - clock.nowMs(),
+                () -> waiter.complete(
+                        Answer.told(STATUS_GATEWAY_TIMEOUT, "it is in hand, and its answer is not there yet")));
     }
 
     private int join(Promise promise, ClientRequest request, Consumer<Answer> client) {
         Waiter waiter = new Waiter(client);
         promise.waiters.add(waiter);
-        bound(waiter, request.arrivedMs() + request.budgetMs());
-        waiter.number = --joined; // apart from the driver's numbers
-        byNumber.put(waiter.number, promise);
+        scheduleTimeout(waiter, request.arrivedMs() + request.budgetMs());
+        waiter.number = --joinedCount; // negative, to differ from the dispatcher's numbers
+        byRequestNumber.put(waiter.number, promise);
         return waiter.number;
     }
 
     private void readAnswer(String identity, ClientRequest request, Consumer<Answer> client) {
         Waiter waiter = new Waiter(client);
-        bound(waiter, request.arrivedMs() + request.budgetMs());
+        scheduleTimeout(waiter, request.arrivedMs() + request.budgetMs());
         store.get(
                 key(identity),
-                (value, failure) -> loop.execute(() -> waiter.tell(
+                (value, failure) -> loop.execute(() -> waiter.complete(
                         value == null
                                 ? Answer.told(
-                                        FAILED,
+                                        STATUS_BAD_GATEWAY,
                                         "it has run, and its answer can't be read: "
                                                 + (failure == null ? "it was just forgotten" : failure.getMessage()))
-                                : Entry.read(value).answer())));
+                                : PromiseRecord.decode(value).answer())));
     }
 
-    private ScheduledFuture<?> after(double delayMs, Runnable task) {
-        return loop.schedule(task, Math.max(0, (long) (delayMs * MICROS_IN_MS)), TimeUnit.MICROSECONDS);
+    private ScheduledFuture<?> schedule(double delayMs, Runnable task) {
+        return loop.schedule(task, Math.max(0, (long) (delayMs * MICROS_PER_MS)), TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void arrived(int number) {
-        driver.arrived(number); // long ones are not on record and keep their numbers
+        dispatcher.arrived(number); // long requests are not recorded and keep the dispatcher's numbers
     }
 
     @Override
     public void clientLeft(int number) {
-        Promise promise = byNumber.remove(number);
+        Promise promise = byRequestNumber.remove(number);
         if (promise == null) {
-            driver.clientLeft(number);
+            dispatcher.clientLeft(number);
             return;
         }
-        promise.waiters.stream().filter(waiter -> waiter.number == number).forEach(Waiter::leave);
-        if (promise.waiters.stream().allMatch(waiter -> waiter.over)
-                && !promise.settled) { // else another one waits for the same
-            driver.clientLeft(promise.number);
+        promise.waiters.stream().filter(waiter -> waiter.number == number).forEach(Waiter::cancel);
+        if (promise.waiters.stream().allMatch(waiter -> waiter.completed)
+                && !promise.settled) { // otherwise another client still waits
+            dispatcher.clientLeft(promise.number);
             promise.settled = true;
-            end(promise, promise.out == 0);
+            finish(promise, promise.unresolvedAttempts == 0);
         }
     }
 
-    /** A line of figures. */
+    /** Returns the statistics as one line for the log. */
     public String statusLine() {
-        PromiseTable.Figures figures = promises.figures();
-        Store.Statistics disk = store.statistics();
-        return "promises: " + figures.inHand() + " in hand, " + figures.acked() + " acked, " + figures.inDoubt()
+        PromiseTable.Statistics statistics = promises.statistics();
+        Store.Statistics storeStatistics = store.statistics();
+        return "promises: " + statistics.pending() + " in hand, " + statistics.acked() + " acked, "
+                + statistics.inDoubt()
                 + " in doubt; "
-                + figures.stored() + " answered from the record, " + figures.joined() + " joined, "
-                + figures.failedInDoubt()
-                + " failed as in doubt, " + figures.forgottenByAge() + " forgotten by age, " + figures.forgottenBySize()
-                + " by size, " + figures.forgottenInDoubt() + " of them in doubt; " + unrecorded + " not recorded, "
-                + unacknowledged
-                + " answers not recorded; store " + disk.state() + ", " + disk.usedBytes() + " bytes, "
-                + disk.keyCount()
+                + statistics.stored() + " answered from the record, " + statistics.joined() + " joined, "
+                + statistics.failedInDoubt()
+                + " failed as in doubt, " + statistics.forgottenByAge() + " forgotten by age, "
+                + statistics.forgottenBySize()
+                + " by size, " + statistics.forgottenInDoubt() + " of them in doubt; " + failedRecords
+                + " not recorded, "
+                + failedAnswerRecords
+                + " answers not recorded; store " + storeStatistics.state() + ", " + storeStatistics.usedBytes()
+                + " bytes, "
+                + storeStatistics.keyCount()
                 + " keys, "
-                + disk.confirmed() + " changes in " + disk.batches() + " writes, " + disk.compactions()
+                + storeStatistics.confirmed() + " changes in " + storeStatistics.batches() + " writes, "
+                + storeStatistics.compactions()
                 + " compactions, "
-                + disk.failures() + " failures, longest write " + Math.round(disk.longestForceMs()) + " ms";
+                + storeStatistics.failures() + " failures, longest write "
+                + Math.round(storeStatistics.longestForceMs()) + " ms";
     }
 
-    /** Returns when all is on the disk. */
+    /** Closes the store. Returns when all queued writes are on the disk, or after a timeout. */
     @Override
     public void close() {
         store.close();
--- a/src/main/java/ivybank/promises/PromiseSettings.java
+++ b/src/main/java/ivybank/promises/PromiseSettings.java
@@ -1,11 +1,11 @@
 package ivybank.promises;
 
 /**
- * How requests that must not run twice are recorded.
+ * Settings of the records of requests that must not run twice.
  *
- * @param header of a request that holds its identity
- * @param keepMs how long it is remembered
- * @param most identities
- * @param letThrough whether requests go on without a promise while nothing can be recorded, rather than be refused
+ * @param header name of the request header that holds the identity of a request
+ * @param keepMs how long an identity is remembered
+ * @param most maximum number of identities
+ * @param letThrough whether requests are sent without a promise, rather than refused, while nothing can be recorded
  */
 public record PromiseSettings(String header, double keepMs, int most, boolean letThrough) {}
--- a/src/main/java/ivybank/promises/PromiseTable.java
+++ b/src/main/java/ivybank/promises/PromiseTable.java
@@ -6,40 +6,40 @@
 import java.util.Map;
 
 /**
- * What this sidecar knows of each request that must not run twice, by its identity. Pure: it is told what happens, with the
- * time in ms, on one thread, and says what is to be done; whoever calls does it. It holds so many identities and no more.
+ * The state of each request that must not run twice, by its identity. The table has a bounded size and does no input
+ * or output: its caller reports events with their time in ms, on one thread, and carries out the decisions.
  */
 public final class PromiseTable {
 
-    /** What an identity stands for. */
+    /** The state of the request of an identity. */
     public enum State {
-        /** In hand; nothing has gone to a node. */
+        /** Pending; nothing was sent to a node. */
         TAKEN,
-        /** In hand; it may run at a node. */
+        /** Pending; it may run at a node. */
         SENT,
-        /** It has run, and the answer is on record. */
+        /** Completed; its answer is recorded. */
         ACKED,
-        /** It may have run, and nobody knows. */
+        /** Ended without an answer; it may have run. */
         IN_DOUBT
     }
 
-    /** What is to become of a request of an identity. */
+    /** How to handle a request of an identity. */
     public enum Decision {
-        /** Nothing speaks against it: it is taken. */
+        /** The identity is unknown; the request is accepted. */
         NEW,
-        /** The same is in hand: it is to share the answer. */
+        /** The same request is pending; the new one shares its answer. */
         JOIN,
-        /** The answer on record is the answer. */
+        /** The recorded answer is returned. */
         STORED,
-        /** It may have run: it fails, and must not be refused nor sent. */
+        /** The request may have run; it fails, and is neither sent nor refused, since a refusal allows a retry. */
         IN_DOUBT,
-        /** All that can be remembered is in hand. */
-        NO_ROOM
+        /** All identities that fit into the table belong to pending requests. */
+        AT_CAPACITY
     }
 
-    /** Figures for operators; counts are since the start. */
-    public record Figures(
-            int inHand,
+    /** Statistics for operators. Counts begin at the start of the process. */
+    public record Statistics(
+            int pending,
             int acked,
             int inDoubt,
             long stored,
@@ -49,133 +49,139 @@
             long forgottenBySize,
             long forgottenInDoubt) {}
 
-    /** Told of each identity that is forgotten, whose record is to go too. */
-    public interface Forgotten {
-        void identity(String identity, State was);
+    /** Receives each identity that is forgotten, so that its record can be deleted. */
+    public interface ForgetListener {
+        void onForgotten(String identity, State was);
     }
 
     private record Settled(State state, double sinceMs) {}
 
     private final double keepMs;
-    private final int most;
-    private final Forgotten forgotten;
-    private final Map<String, State> inHand = new HashMap<>();
-    private final Map<String, Settled> settled = new LinkedHashMap<>(); // the oldest first
+    private final int maxIdentities;
+    private final ForgetListener listener;
+    private final Map<String, State> pending = new HashMap<>();
+    private final Map<String, Settled> settled = new LinkedHashMap<>(); // oldest first
     private double lastMs;
-    private int doubts;
+    private int inDoubtCount;
     private long stored;
     private long joined;
     private long failedInDoubt;
-    private long byAge;
-    private long bySize;
+    private long forgottenByAge;
+    private long forgottenBySize;
     private long forgottenInDoubt;
 
     /**
+     * Creates an empty table.
+     *
      * @param keepMs how long an identity is remembered after its request has ended
-     * @param most identities, those in hand included
+     * @param maxIdentities maximum number of identities, including those of pending requests
+     * @param listener receives forgotten identities
      */
-    public PromiseTable(double keepMs, int most, Forgotten forgotten) {
+    public PromiseTable(double keepMs, int maxIdentities, ForgetListener listener) {
         this.keepMs = keepMs;
-        this.most = most;
-        this.forgotten = forgotten;
+        this.maxIdentities = maxIdentities;
+        this.listener = listener;
     }
 
-    /** Time as it passes here: a clock that goes back stands still instead, so that nothing is kept for ever. */
-    private double now(double nowMs) {
+    /** Returns a time that never decreases, so that no identity is kept for ever after the clock is set back. */
+    private double monotonicNow(double nowMs) {
         lastMs = Math.max(lastMs, nowMs);
         return lastMs;
     }
 
-    /** What an earlier process has left on record; what was in hand then is in doubt. */
+    /** Adds an identity that an earlier process recorded. A request that was pending then is in doubt. */
     public void recovered(String identity, State state, double sinceMs, double nowMs) {
-        // A time that is still to come was written by a clock that has gone back since.
-        settle(identity, state == State.ACKED ? State.ACKED : State.IN_DOUBT, Math.min(sinceMs, now(nowMs)));
+        // A time in the future was written before the clock was set back.
+        settle(identity, state == State.ACKED ? State.ACKED : State.IN_DOUBT, Math.min(sinceMs, monotonicNow(nowMs)));
     }
 
-    /** Forgets what is too old or too much; call it once after all that is recovered, in the order of their times. */
+    /**
+     * Forgets identities that are too old or exceed the maximum number. After a start it is called once, when all
+     * identities have been recovered in the order of their times.
+     */
     public void trim(double nowMs) {
-        double now = now(nowMs);
+        double now = monotonicNow(nowMs);
         for (Iterator<Map.Entry<String, Settled>> each = settled.entrySet().iterator(); each.hasNext(); ) {
             Map.Entry<String, Settled> oldest = each.next();
-            boolean old = now - oldest.getValue().sinceMs > keepMs;
-            if (!old && settled.size() + inHand.size() <= most) {
+            boolean expired = now - oldest.getValue().sinceMs > keepMs;
+            if (!expired && settled.size() + pending.size() <= maxIdentities) {
                 return;
             }
             each.remove();
-            byAge += old ? 1 : 0;
-            bySize += old ? 0 : 1;
+            forgottenByAge += expired ? 1 : 0;
+            forgottenBySize += expired ? 0 : 1;
             if (oldest.getValue().state == State.IN_DOUBT) {
-                doubts--;
+                inDoubtCount--;
                 forgottenInDoubt++;
             }
-            forgotten.identity(oldest.getKey(), oldest.getValue().state);
+            listener.onForgotten(oldest.getKey(), oldest.getValue().state);
         }
     }
 
-    /** A request has come in. */
-    public Decision ask(String identity, double nowMs) {
+    /** Returns how to handle an incoming request. */
+    public Decision admit(String identity, double nowMs) {
         trim(nowMs);
-        Settled known = settled.get(identity);
-        if (known != null) {
-            stored += known.state == State.ACKED ? 1 : 0;
-            failedInDoubt += known.state == State.ACKED ? 0 : 1;
-            return known.state == State.ACKED ? Decision.STORED : Decision.IN_DOUBT;
+        Settled found = settled.get(identity);
+        if (found != null) {
+            stored += found.state == State.ACKED ? 1 : 0;
+            failedInDoubt += found.state == State.ACKED ? 0 : 1;
+            return found.state == State.ACKED ? Decision.STORED : Decision.IN_DOUBT;
         }
-        if (inHand.containsKey(identity)) {
+        if (pending.containsKey(identity)) {
             joined++;
             return Decision.JOIN;
         }
-        if (inHand.size() >= most) {
-            return Decision.NO_ROOM;
+        if (pending.size() >= maxIdentities) {
+            return Decision.AT_CAPACITY;
         }
-        inHand.put(identity, State.TAKEN);
+        pending.put(identity, State.TAKEN);
         trim(nowMs);
         return Decision.NEW;
     }
 
-    /** It is on record, and goes out now. */
+    /** Marks a recorded request as sent to a node. */
     public void sent(String identity) {
-        inHand.replace(identity, State.SENT);
+        pending.replace(identity, State.SENT);
     }
 
-    /** Whether it may have run: something of it has gone to a node. */
+    /** Returns whether a pending request may have run because it was sent to a node. */
     public boolean mayHaveRun(String identity) {
-        return inHand.get(identity) == State.SENT;
+        return pending.get(identity) == State.SENT;
     }
 
-    /** Its answer is on record. */
-    public void acked(String identity, double nowMs) {
-        inHand.remove(identity);
-        settle(identity, State.ACKED, now(nowMs));
+    /** Marks a request as completed, with its answer recorded. */
+    public void acknowledged(String identity, double nowMs) {
+        pending.remove(identity);
+        settle(identity, State.ACKED, monotonicNow(nowMs));
     }
 
-    /** It has ended with no answer of a node; {@code proved} if each attempt has proved that it did not run. */
+    /** Ends a request without an answer of a node. {@code proved}: every attempt has proved that it did not run. */
     public void ended(String identity, boolean proved, double nowMs) {
-        State was = inHand.remove(identity);
+        State was = pending.remove(identity);
         if (was == State.SENT && !proved) {
-            settle(identity, State.IN_DOUBT, now(nowMs));
+            settle(identity, State.IN_DOUBT, monotonicNow(nowMs));
         } else if (was != null) {
-            forgotten.identity(identity, State.TAKEN);
+            listener.onForgotten(identity, State.TAKEN);
         }
     }
 
     private void settle(String identity, State state, double sinceMs) {
-        Settled before = settled.remove(identity);
-        doubts -= before != null && before.state == State.IN_DOUBT ? 1 : 0;
-        doubts += state == State.IN_DOUBT ? 1 : 0;
+        Settled previous = settled.remove(identity);
+        inDoubtCount -= previous != null && previous.state == State.IN_DOUBT ? 1 : 0;
+        inDoubtCount += state == State.IN_DOUBT ? 1 : 0;
         settled.put(identity, new Settled(state, sinceMs));
     }
 
-    public Figures figures() {
-        return new Figures(
-                inHand.size(),
-                settled.size() - doubts,
-                doubts,
+    public Statistics statistics() {
+        return new Statistics(
+                pending.size(),
+                settled.size() - inDoubtCount,
+                inDoubtCount,
                 stored,
                 joined,
                 failedInDoubt,
-                byAge,
-                bySize,
+                forgottenByAge,
+                forgottenBySize,
                 forgottenInDoubt);
     }
 }
--- a/src/main/java/ivybank/promises/package-info.java
+++ b/src/main/java/ivybank/promises/package-info.java
@@ -1,2 +1,2 @@
-/** Records of requests that must not run twice, which outlast a restart. */
+/** Durable records, which survive a restart, of requests that must not run twice. */
 package ivybank.promises;
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/PromiseRequestHandlerTest.java
@@ -34,25 +34,28 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** That nothing goes out before it is on the disk: a disk whose forces are let through one by one, and a driver by hand. */
+/**
+ * Checks that nothing is sent before it is on the disk, with a disk that holds back each force and a manual
+ * dispatcher.
+ */
 @Timeout(30)
-class OnRecordTest {
+class PromiseRequestHandlerTest {
 
     private static final Limits LIMITS = new Limits(1 << 22, 1 << 16, 1 << 12, 1 << 20);
 
-    /** Lets each force wait for a permit, or fail. */
+    /** A disk on which each force waits for a permit, and may then fail. */
     private static final class GatedDisk implements Disk {
         private final Disk real;
         final Semaphore permits = new Semaphore(1000);
         volatile boolean failing;
-        final LinkedBlockingQueue<String> waiting = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<String> forces = new LinkedBlockingQueue<>();
 
         GatedDisk(Disk real) {
             this.real = real;
         }
 
-        private void pass() throws IOException {
-            waiting.add("force");
+        private void awaitPermit() throws IOException {
+            forces.add("force");
             permits.acquireUninterruptibly();
             if (failing) {
                 throw new IOException("the disk failed");
@@ -83,7 +86,7 @@
 
                 @Override
                 public void force() throws IOException {
-                    pass();
+                    awaitPermit();
                     file.force();
                 }
 
@@ -130,8 +133,8 @@
         }
     }
 
-    /** Keeps what it is handed. */
-    private static final class HandDriver implements RequestHandler {
+    /** Keeps the requests that it is given; the test answers them. */
+    private static final class ManualDispatcher implements RequestHandler {
         final List<ClientRequest> requests = new ArrayList<>();
         final List<Consumer<Answer>> clients = new ArrayList<>();
 
@@ -162,7 +165,7 @@
 
         @Override
         public void clientLeft(int number) {
-            // The test says itself what becomes of it.
+            // The test decides the outcome of the request.
         }
     }
 
@@ -170,22 +173,22 @@
     Path dir;
 
     private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
-    private final HandDriver driver = new HandDriver();
-    private final List<String> told = new ArrayList<>();
+    private final ManualDispatcher dispatcher = new ManualDispatcher();
+    private final List<String> answers = new ArrayList<>();
     private GatedDisk disk;
-    private PromiseRequestHandler keeper;
+    private PromiseRequestHandler handler;
 
     @AfterEach
     void close() throws Exception {
         disk.permits.release(1000);
-        keeper.close();
+        handler.close();
         loop.shutdownNow();
     }
 
     private void open(boolean letThrough) throws Exception {
         disk = new GatedDisk(FileSystemDisk.lock(dir));
         Clock clock = Clock.system();
-        keeper = new PromiseRequestHandler(
+        handler = new PromiseRequestHandler(
                 new PromiseSettings("X-Event", 60_000, 20_000, letThrough),
                 SettingsText.parse("""
                 lanes.count=1
@@ -203,17 +206,17 @@
                 loop,
                 clock,
                 new Log(new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8), clock));
-        keeper.setDispatcher(driver);
+        handler.setDispatcher(dispatcher);
         disk.permits.drainPermits();
-        disk.waiting.clear();
+        disk.forces.clear();
     }
 
     private <T> T onLoop(Callable<T> task) throws Exception {
         return loop.submit(task).get();
     }
 
-    private void ask(String event, double budgetMs) throws Exception {
-        onLoop(() -> keeper.request(
+    private void submit(String event, double budgetMs) throws Exception {
+        onLoop(() -> handler.request(
                 new ClientRequest(
                         HttpMethod.POST,
                         "/submit",
@@ -227,136 +230,143 @@
                         budgetMs,
                         event,
                         null),
-                answer -> told.add(answer.status() + " " + new String(answer.body(), StandardCharsets.UTF_8).strip())));
+                answer -> answers.add(
+                        answer.status() + " " + new String(answer.body(), StandardCharsets.UTF_8).strip())));
     }
 
-    /** Waits until the disk is asked to force something. */
+    /** Waits until a force is requested. */
     private void awaitForce() throws InterruptedException {
-        assertEquals("force", disk.waiting.poll(10, TimeUnit.SECONDS));
+        assertEquals("force", disk.forces.poll(10, TimeUnit.SECONDS));
     }
 
-    private List<String> told() throws Exception {
-        return onLoop(() -> List.copyOf(told));
+    private List<String> answers() throws Exception {
+        return onLoop(() -> List.copyOf(answers));
     }
 
-    private void awaitTold(int count) throws Exception {
-        while (told().size() < count) {
+    private void awaitAnswers(int count) throws Exception {
+        while (answers().size() < count) {
             Thread.sleep(1);
         }
     }
 
-    /** Has the first request put on record; the latch falls when it may go out. */
-    private CountDownLatch record(int request) throws Exception {
-        CountDownLatch out = new CountDownLatch(1);
+    /** Records a request. The returned latch opens when the request may be sent. */
+    private CountDownLatch recordRequest(int request) throws Exception {
+        CountDownLatch sendable = new CountDownLatch(1);
         onLoop(() -> {
-            driver.requests
+            dispatcher
+                    .requests
                     .get(request)
                     .record()
                     .record(
                             () -> {
-                                driver.requests.get(request).record().sending();
-                                out.countDown();
+                                dispatcher.requests.get(request).record().sending();
+                                sendable.countDown();
                             },
-                            () -> driver.clients.get(request).accept(Answer.refused(100)));
+                            () -> dispatcher.clients.get(request).accept(Answer.refused(100)));
             return null;
         });
-        return out;
+        return sendable;
     }
 
     @Test
-    void nothingGoesToANodeBeforeItIsOnTheDiskAndNoAnswerToTheClient() throws Exception {
+    void requestAndAnswerAreSentOnlyAfterTheyAreOnTheDisk() throws Exception {
         open(false);
-        ask("a", 5000);
-        CountDownLatch out = record(0);
+        submit("a", 5000);
+        CountDownLatch sendable = recordRequest(0);
         awaitForce();
         onLoop(() -> null);
-        assertEquals(1, out.getCount(), "it waits for the force");
+        assertEquals(1, sendable.getCount(), "the request must wait for the force");
         disk.permits.release();
-        out.await();
+        sendable.await();
         onLoop(() -> {
-            driver.clients.get(0).accept(Answer.served("text/plain", "ran".getBytes(StandardCharsets.UTF_8)));
+            dispatcher.clients.get(0).accept(Answer.served("text/plain", "ran".getBytes(StandardCharsets.UTF_8)));
             return null;
         });
         awaitForce();
-        assertEquals(List.of(), told());
-        assertEquals(1, onLoop(() -> keeper.unanswered()), "it counts as in hand");
+        assertEquals(List.of(), answers());
+        assertEquals(
+                1, onLoop(() -> handler.unanswered()), "a request whose answer is being recorded counts as unanswered");
         disk.permits.release();
-        awaitTold(1);
-        assertEquals(List.of("200 ran"), told());
+        awaitAnswers(1);
+        assertEquals(List.of("200 ran"), answers());
     }
 
     @Test
-    void aForceThatTakesTooLongOrFailsOnceCostsTheAnswerAndNeverAPromise() throws Exception {
+    void slowOrFailedForceMayLoseAnAnswerButNeverAPromise() throws Exception {
         open(false);
-        ask("slow", 300);
-        CountDownLatch out = record(0);
+        submit("slow", 300);
+        CountDownLatch sendable = recordRequest(0);
         disk.permits.release();
-        out.await();
+        sendable.await();
         onLoop(() -> {
-            driver.clients.get(0).accept(Answer.served(null, "ran".getBytes(StandardCharsets.UTF_8)));
+            dispatcher.clients.get(0).accept(Answer.served(null, "ran".getBytes(StandardCharsets.UTF_8)));
             return null;
         });
-        awaitTold(1); // the force is still out when its time is up
-        assertTrue(told().get(0).startsWith("504"), told().toString());
+        awaitAnswers(1); // the deadline passes while the force is still blocked
+        assertTrue(answers().get(0).startsWith("504"), answers().toString());
         disk.permits.release(100);
-        ask("slow", 3000);
-        awaitTold(2);
-        assertEquals("200 ran", told().get(1), "it was recorded all the same");
+        submit("slow", 3000);
+        awaitAnswers(2);
+        assertEquals("200 ran", answers().get(1), "the answer was recorded after the timeout");
 
-        ask("lost", 3000);
-        record(1).await();
+        submit("lost", 3000);
+        recordRequest(1).await();
         disk.failing = true;
         onLoop(() -> {
-            driver.clients.get(1).accept(Answer.served(null, "ran".getBytes(StandardCharsets.UTF_8)));
+            dispatcher.clients.get(1).accept(Answer.served(null, "ran".getBytes(StandardCharsets.UTF_8)));
             return null;
         });
-        awaitTold(3);
-        assertEquals("502 it has run, and its answer could not be recorded: in doubt", told().get(2));
-        ask("lost", 3000);
-        assertTrue(told().get(3).startsWith("409"), told().toString());
-        ask("new", 3000);
-        assertEquals("503", told().get(4).strip(), "nothing is taken while the store fails");
-        assertEquals(2, driver.requests.size());
-        disk.failing = false; // it mends by itself, with no request to try it with
-        for (int i = 4; told().size() > i; i++) {
-            ask("new", 3000);
+        awaitAnswers(3);
+        assertEquals(
+                "502 it has run, and its answer could not be recorded: in doubt",
+                answers().get(2));
+        submit("lost", 3000);
+        assertTrue(answers().get(3).startsWith("409"), answers().toString());
+        submit("new", 3000);
+        assertEquals("503", answers().get(4).strip(), "no request is accepted while the store fails");
+        assertEquals(2, dispatcher.requests.size());
+        disk.failing = false; // the store recovers by itself, without a request that tries it
+        for (int i = 4; answers().size() > i; i++) {
+            submit("new", 3000);
             Thread.sleep(5);
         }
-        assertEquals(3, driver.requests.size());
+        assertEquals(3, dispatcher.requests.size());
     }
 
     @Test
-    void whatCantBeRecordedIsRefusedOrLetThroughAsTheFileSays() throws Exception {
+    void requestIsSentWithoutARecordIfTheSettingsLetItThrough() throws Exception {
         open(true);
         disk.failing = true;
         disk.permits.release(1000);
-        ask("a", 3000);
-        record(0).await();
+        submit("a", 3000);
+        recordRequest(0).await();
         onLoop(() -> {
-            driver.clients.get(0).accept(Answer.served(null, "ran".getBytes(StandardCharsets.UTF_8)));
+            dispatcher.clients.get(0).accept(Answer.served(null, "ran".getBytes(StandardCharsets.UTF_8)));
             return null;
         });
-        awaitTold(1);
-        assertEquals("200 ran", told().get(0));
+        awaitAnswers(1);
+        assertEquals("200 ran", answers().get(0));
     }
 
     @Test
-    void tenThousandInDoubtAreThereAgainAfterAStart() throws Exception {
+    void tenThousandRequestsInDoubtSurviveARestart() throws Exception {
         open(false);
         disk.permits.release(1_000_000);
-        List<CountDownLatch> out = new ArrayList<>();
+        List<CountDownLatch> sendable = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
-            ask("e" + i, 3000);
-            out.add(record(i));
+            submit("e" + i, 3000);
+            sendable.add(recordRequest(i));
         }
-        for (CountDownLatch each : out) {
+        for (CountDownLatch each : sendable) {
             each.await();
         }
-        keeper.close();
+        handler.close();
         open(false);
-        ask("e0", 3000);
-        ask("e9999", 3000);
-        assertEquals(2, told().size());
-        assertTrue(told().stream().allMatch(each -> each.startsWith("409")), told().toString());
+        submit("e0", 3000);
+        submit("e9999", 3000);
+        assertEquals(2, answers().size());
+        assertTrue(
+                answers().stream().allMatch(each -> each.startsWith("409")),
+                answers().toString());
     }
 }
--- a/src/test/java/ivybank/store/ModelTest.java
+++ b/src/test/java/ivybank/store/ModelTest.java
@@ -16,16 +16,16 @@
 import net.jqwik.api.Provide;
 
 /**
- * The log against a map in memory: what is written, lost with the power and recovered, in any order. A script that fails is
- * shrunk to a short one. {@code -Djqwik.tries.default=N} has no say: {@code -Dstore.rounds=N} plays N times as many seeds of
- * the cuts for each script.
+ * Compares the log with a map in memory over generated scripts of writes, failures, power cuts and recoveries. A
+ * failing script is shrunk to a short one. The number of scripts is fixed, so that {@code -Djqwik.tries.default} has
+ * no effect; {@code -Dstore.rounds=N} runs each script with N seeds for the power cuts.
  */
 class ModelTest {
 
     private static final int ROUNDS = Integer.getInteger("store.rounds", 1);
     private static final Limits LIMITS = new Limits(1 << 20, 4096, 2048, 1 << 16);
 
-    /** One step, by its kind and a number for what it needs. */
+    /** A step of a script: its kind, and a number from which its parameters are derived. */
     record Step(int kind, int number) {}
 
     @Provide
@@ -39,13 +39,13 @@
     }
 
     @Property(tries = 900, seed = "20261201", edgeCases = net.jqwik.api.EdgeCasesMode.NONE)
-    void whatIsConfirmedIsThereAndNothingElse(@ForAll("scripts") List<Step> script) throws IOException {
+    void logHoldsExactlyTheConfirmedChanges(@ForAll("scripts") List<Step> script) throws IOException {
         for (int round = 0; round < ROUNDS; round++) {
-            play(script, round);
+            runScript(script, round);
         }
     }
 
-    private static void play(List<Step> script, int round) throws IOException {
+    private static void runScript(List<Step> script, int round) throws IOException {
         SplittableRandom random = new SplittableRandom(round);
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
@@ -56,7 +56,7 @@
                     disk = disk.cut(random);
                     log = recover(disk, model, List.of());
                 }
-                case 2 -> { // power cut in the middle of a write
+                case 2 -> { // power cut during a write
                     List<Mutation> batch = batch(step.number);
                     disk.cutAfter(step.number % 5);
                     boolean written = false;
@@ -73,7 +73,7 @@
                         log = recover(disk, model, batch);
                     }
                 }
-                case 3 -> { // the disk fails
+                case 3 -> { // forces fail
                     disk.failForces(1 + step.number % 3);
                     List<Mutation> batch = batch(step.number);
                     try {
@@ -84,7 +84,7 @@
                     }
                     disk.failForces(0);
                 }
-                case 4 -> { // it fails, and then the power goes
+                case 4 -> { // a force fails during a compaction, then the power is cut
                     disk.failForces(1);
                     try {
                         log.compact(1);
@@ -96,7 +96,7 @@
                     log = recover(disk, model, List.of());
                 }
                 case 5, 6, 7 -> log.compact(1);
-                case 8 -> { // an orderly end
+                case 8 -> { // orderly close
                     log.close();
                     log = recover(disk, model, List.of());
                 }
@@ -106,21 +106,21 @@
                     apply(model, batch);
                 }
             }
-            assertTrue(content(log).equals(model), () -> "after " + step);
+            assertTrue(contentOf(log).equals(model), () -> "after " + step);
         }
     }
 
-    private static SegmentLog recover(PowerCutDisk disk, Map<String, String> model, List<Mutation> tried)
+    private static SegmentLog recover(PowerCutDisk disk, Map<String, String> model, List<Mutation> attempted)
             throws IOException {
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
-        Map<String, String> found = content(log);
-        boolean known = found.equals(model);
-        Map<String, String> more = new TreeMap<>(model);
-        for (Mutation mutation : tried) {
-            apply(more, List.of(mutation));
-            known |= found.equals(more);
+        Map<String, String> found = contentOf(log);
+        boolean matches = found.equals(model);
+        Map<String, String> expected = new TreeMap<>(model);
+        for (Mutation mutation : attempted) {
+            apply(expected, List.of(mutation));
+            matches |= found.equals(expected);
         }
-        assertTrue(known, () -> "confirmed " + model + ", tried " + tried.size() + ", found " + found);
+        assertTrue(matches, () -> "confirmed " + model + ", attempted " + attempted.size() + ", found " + found);
         model.clear();
         model.putAll(found);
         return log;
@@ -148,10 +148,10 @@
         }
     }
 
-    private static Map<String, String> content(SegmentLog log) throws IOException {
-        Map<String, String> all = new TreeMap<>();
+    private static Map<String, String> contentOf(SegmentLog log) throws IOException {
+        Map<String, String> content = new TreeMap<>();
         log.forEach((key, value) ->
-                all.put(new String(key, StandardCharsets.UTF_8), new String(value, StandardCharsets.UTF_8)));
-        return all;
+                content.put(new String(key, StandardCharsets.UTF_8), new String(value, StandardCharsets.UTF_8)));
+        return content;
     }
 }
--- a/src/test/java/ivybank/store/PowerCutDisk.java
+++ b/src/test/java/ivybank/store/PowerCutDisk.java
@@ -10,133 +10,135 @@
 import java.util.SplittableRandom;
 
 /**
- * A disk in memory that can lose its power: what was written and not forced is then lost, kept or torn, piece by piece and in
- * any order, and so are names. It can also fail a force, run full, be slow to give all that is read, and flip bits.
+ * An in-memory disk for fault injection. After a power cut, writes and name changes that were not forced are lost,
+ * kept or torn in part, in any order. The disk can also fail forces, fill up, and transfer fewer bytes than asked; a
+ * test can replace the content of its files.
  */
 final class PowerCutDisk implements Disk {
 
-    private static final int SECTOR = 16; // small, so that small files are torn too
+    private static final int SECTOR = 16; // small, so that small files can be torn too
 
-    /** A change of a file that is not forced yet: bytes at a place, or a new end where there are none. */
-    private record Change(int at, byte[] bytes) {
-        byte[] on(byte[] content) {
+    /** An unforced change of a file: bytes at an offset, or a new file size if the bytes are null. */
+    private record Change(int offset, byte[] bytes) {
+        byte[] applyTo(byte[] content) {
             if (bytes == null) {
-                return Arrays.copyOf(content, at);
+                return Arrays.copyOf(content, offset);
             }
-            byte[] changed = Arrays.copyOf(content, Math.max(content.length, at + bytes.length));
-            System.arraycopy(bytes, 0, changed, at, bytes.length);
+            byte[] changed = Arrays.copyOf(content, Math.max(content.length, offset + bytes.length));
+            System.arraycopy(bytes, 0, changed, offset, bytes.length);
             return changed;
         }
     }
 
     private static final class Content {
         private byte[] forced = {};
-        private byte[] now = {};
+        private byte[] current = {};
         private final List<Change> changes = new ArrayList<>();
     }
 
-    /** A change of the names: a new one, one in another's place, or one less. */
-    private record Naming(String name, Content content, String from) {}
+    /** An unforced change of the names: a creation, a rename (from is not null) or a deletion (content is null). */
+    private record NameChange(String name, Content content, String from) {}
 
     private final Map<String, Content> forcedNames = new LinkedHashMap<>();
     private final Map<String, Content> names = new LinkedHashMap<>();
-    private final List<Naming> namings = new ArrayList<>();
+    private final List<NameChange> nameChanges = new ArrayList<>();
     private int failForces;
-    private long room = Long.MAX_VALUE;
+    private long freeBytes = Long.MAX_VALUE;
     private int stepsToCut = -1;
-    private boolean shortReads;
+    private boolean shortTransfers;
 
-    /** The power is gone: nothing works any more on this disk. */
+    /** Thrown by each change of the disk after its power was cut. */
     static final class PowerCut extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-    /** So many forces from now on fail. */
+    /** Makes the next forces fail. */
     void failForces(int count) {
         failForces = count;
     }
 
-    /** So many bytes more can be written. */
-    void room(long bytes) {
-        room = bytes;
+    /** Sets the number of bytes that can still be written. */
+    void setFreeBytes(long bytes) {
+        freeBytes = bytes;
     }
 
-    /** Reads and writes give and take a part of what is asked. */
+    /** Makes each read and write transfer only a part of the bytes. */
     void shortTransfers() {
-        shortReads = true;
+        shortTransfers = true;
     }
 
-    /** The power goes at the change after so many; -1 never. */
+    /** Cuts the power after a number of changes; -1 means never. */
     void cutAfter(int steps) {
         stepsToCut = steps;
     }
 
-    private void step() {
+    private void countStep() {
         if (stepsToCut == 0) {
             throw new PowerCut();
         }
         stepsToCut -= stepsToCut > 0 ? 1 : 0;
     }
 
-    /** What is left when the power is back: a new disk, with all that was forced and some of the rest. */
+    /** Returns the disk after the power is back, with all that was forced and a random part of the rest. */
     PowerCutDisk cut(SplittableRandom random) {
         PowerCutDisk next = new PowerCutDisk();
         Map<Content, Content> copies = new LinkedHashMap<>();
-        Map<String, Content> left = new LinkedHashMap<>(forcedNames);
-        int style = random.nextInt(4); // nothing, everything, or some of what was not forced
-        for (Naming naming : namings) {
-            if (style == 0 || style > 1 && random.nextBoolean()) {
+        Map<String, Content> remaining = new LinkedHashMap<>(forcedNames);
+        int mode = random.nextInt(4); // 0: nothing unforced is kept, 1: all of it, 2 and 3: a part
+        for (NameChange nameChange : nameChanges) {
+            if (mode == 0 || mode > 1 && random.nextBoolean()) {
                 continue;
             }
-            if (naming.from != null && left.containsKey(naming.from)) {
-                left.put(naming.name, left.remove(naming.from));
-            } else if (naming.from == null && naming.content != null) {
-                left.put(naming.name, naming.content);
-            } else if (naming.from == null) {
-                left.remove(naming.name);
+            if (nameChange.from != null && remaining.containsKey(nameChange.from)) {
+                remaining.put(nameChange.name, remaining.remove(nameChange.from));
+            } else if (nameChange.from == null && nameChange.content != null) {
+                remaining.put(nameChange.name, nameChange.content);
+            } else if (nameChange.from == null) {
+                remaining.remove(nameChange.name);
             }
         }
-        left.forEach((name, content) -> {
-            Content copy = copies.computeIfAbsent(content, each -> torn(each, style, random));
+        remaining.forEach((name, content) -> {
+            Content copy = copies.computeIfAbsent(content, each -> torn(each, mode, random));
             next.names.put(name, copy);
             next.forcedNames.put(name, copy);
         });
         return next;
     }
 
-    private static Content torn(Content content, int style, SplittableRandom random) {
+    private static Content torn(Content content, int mode, SplittableRandom random) {
         byte[] bytes = content.forced;
         for (Change change : content.changes) {
-            if (style == 0) {
+            if (mode == 0) {
                 break;
             }
-            if (style == 1 || change.bytes == null) {
-                bytes = style == 1 || random.nextBoolean() ? change.on(bytes) : bytes;
-            } else if (style == 2) { // in sectors, any of them
+            if (mode == 1 || change.bytes == null) {
+                bytes = mode == 1 || random.nextBoolean() ? change.applyTo(bytes) : bytes;
+            } else if (mode == 2) { // any of the sectors
                 for (int from = 0; from < change.bytes.length; from += SECTOR) {
                     if (random.nextBoolean()) {
                         int to = Math.min(change.bytes.length, from + SECTOR);
-                        bytes = new Change(change.at + from, Arrays.copyOfRange(change.bytes, from, to)).on(bytes);
+                        bytes = new Change(change.offset + from, Arrays.copyOfRange(change.bytes, from, to))
+                                .applyTo(bytes);
                     }
                 }
-            } else { // up to any byte
-                bytes = new Change(change.at, Arrays.copyOf(change.bytes, random.nextInt(change.bytes.length + 1)))
-                        .on(bytes);
+            } else { // a prefix of any length
+                bytes = new Change(change.offset, Arrays.copyOf(change.bytes, random.nextInt(change.bytes.length + 1)))
+                        .applyTo(bytes);
             }
         }
         Content copy = new Content();
         copy.forced = bytes;
-        copy.now = bytes;
+        copy.current = bytes;
         return copy;
     }
 
-    /** The same bytes on another disk, all of them forced. */
+    /** Returns a copy of the disk on which everything is forced. */
     PowerCutDisk copy() {
         PowerCutDisk next = new PowerCutDisk();
         names.forEach((name, content) -> {
             Content copy = new Content();
-            copy.now = content.now;
-            copy.forced = content.now;
+            copy.current = content.current;
+            copy.forced = content.current;
             next.names.put(name, copy);
             next.forcedNames.put(name, copy);
         });
@@ -144,13 +146,13 @@
     }
 
     byte[] bytes(String name) {
-        return names.get(name).now;
+        return names.get(name).current;
     }
 
-    /** Puts these bytes into a file, forced. */
+    /** Replaces the content of a file, forced. */
     void set(String name, byte[] bytes) {
         Content content = names.get(name);
-        content.now = bytes;
+        content.current = bytes;
         content.forced = bytes;
         content.changes.clear();
     }
@@ -162,52 +164,52 @@
 
     @Override
     public File create(String name) throws IOException {
-        step();
+        countStep();
         if (names.containsKey(name)) {
-            throw new IOException(name + " is there");
+            throw new IOException(name + " exists already");
         }
         Content content = new Content();
         names.put(name, content);
-        namings.add(new Naming(name, content, null));
-        return new Opened(content);
+        nameChanges.add(new NameChange(name, content, null));
+        return new OpenFile(content);
     }
 
     @Override
     public File open(String name) throws IOException {
         if (!names.containsKey(name)) {
-            throw new IOException(name + " is not there");
+            throw new IOException(name + " does not exist");
         }
-        return new Opened(names.get(name));
+        return new OpenFile(names.get(name));
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        step();
+        countStep();
         if (!names.containsKey(from)) {
-            throw new IOException(from + " is not there");
+            throw new IOException(from + " does not exist");
         }
         names.put(to, names.remove(from));
-        namings.add(new Naming(to, names.get(to), from));
+        nameChanges.add(new NameChange(to, names.get(to), from));
     }
 
     @Override
     public void delete(String name) {
-        step();
+        countStep();
         if (names.remove(name) != null) {
-            namings.add(new Naming(name, null, null));
+            nameChanges.add(new NameChange(name, null, null));
         }
     }
 
     @Override
     public void forceNames() throws IOException {
-        step();
-        failed();
+        countStep();
+        failIfRequested();
         forcedNames.clear();
         forcedNames.putAll(names);
-        namings.clear();
+        nameChanges.clear();
     }
 
-    private void failed() throws IOException {
+    private void failIfRequested() throws IOException {
         if (failForces > 0) {
             failForces--;
             throw new IOException("the disk failed");
@@ -216,73 +218,74 @@
 
     @Override
     public void close() {
-        // Nothing is held.
+        // There is nothing to release.
     }
 
-    private final class Opened implements File {
+    private final class OpenFile implements File {
         private final Content content;
 
-        Opened(Content content) {
+        OpenFile(Content content) {
             this.content = content;
         }
 
         @Override
         public long size() {
-            return content.now.length;
+            return content.current.length;
         }
 
         @Override
-        public int read(long at, ByteBuffer into) {
-            int count = (int) Math.min(into.remaining(), content.now.length - at);
+        public int read(long offset, ByteBuffer into) {
+            int count = (int) Math.min(into.remaining(), content.current.length - offset);
             if (count <= 0) {
                 return -1;
             }
-            int some = shortReads ? Math.max(1, count / 2) : count;
-            into.put(content.now, (int) at, some);
-            return some;
+            int transferred = shortTransfers ? Math.max(1, count / 2) : count;
+            into.put(content.current, (int) offset, transferred);
+            return transferred;
         }
 
         @Override
-        public int write(long at, ByteBuffer from) throws IOException {
-            step();
-            int count = (int) Math.min(shortReads ? Math.max(1, from.remaining() / 2) : from.remaining(), room);
+        public int write(long offset, ByteBuffer from) throws IOException {
+            countStep();
+            int count =
+                    (int) Math.min(shortTransfers ? Math.max(1, from.remaining() / 2) : from.remaining(), freeBytes);
             if (count == 0) {
                 throw new IOException("no space is left");
             }
-            room -= count;
+            freeBytes -= count;
             byte[] bytes = new byte[count];
             from.get(bytes);
-            change(new Change((int) at, bytes));
+            change(new Change((int) offset, bytes));
             return count;
         }
 
         private void change(Change change) {
             content.changes.add(change);
-            content.now = change.on(content.now);
+            content.current = change.applyTo(content.current);
         }
 
         @Override
         public void truncate(long size) {
-            step();
-            if (size < content.now.length) {
+            countStep();
+            if (size < content.current.length) {
                 change(new Change((int) size, null));
             }
         }
 
         @Override
         public void force() throws IOException {
-            step();
+            countStep();
             if (failForces > 0) {
-                content.changes.clear(); // as a system does that drops what it could not write
+                content.changes.clear(); // like a system that drops pages which it could not write
             }
-            failed();
-            content.forced = content.now;
+            failIfRequested();
+            content.forced = content.current;
             content.changes.clear();
         }
 
         @Override
         public void close() {
-            // Nothing is held.
+            // There is nothing to release.
         }
     }
 }
--- a/src/test/java/ivybank/store/SegmentLogTest.java
+++ b/src/test/java/ivybank/store/SegmentLogTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The log on a disk that loses its power, byte by byte and step by step. */
+/** Tests the log on a disk that loses its power, whose files are truncated or corrupted, or that fills up. */
 @Timeout(100)
 class SegmentLogTest {
 
@@ -29,11 +29,11 @@
                 value == null ? null : value.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static Map<String, String> content(SegmentLog log) throws IOException {
-        Map<String, String> all = new TreeMap<>();
+    private static Map<String, String> contentOf(SegmentLog log) throws IOException {
+        Map<String, String> content = new TreeMap<>();
         log.forEach((key, value) ->
-                all.put(new String(key, StandardCharsets.UTF_8), new String(value, StandardCharsets.UTF_8)));
-        return all;
+                content.put(new String(key, StandardCharsets.UTF_8), new String(value, StandardCharsets.UTF_8)));
+        return content;
     }
 
     private static void apply(Map<String, String> model, List<Mutation> batch) {
@@ -56,24 +56,27 @@
         return batch;
     }
 
-    /** What was confirmed after each batch, and the disk at the end: several segments, and a compaction under way. */
-    private record Story(PowerCutDisk disk, List<Map<String, String>> after, List<Written> written) {
+    /** The content after each change, and the disk at the end, with several segments and a running compaction. */
+    private record History(PowerCutDisk disk, List<Map<String, String>> after, List<Written> written) {
 
-        /** Whether these are the first changes in their order, at least all that was confirmed when the file had this size. */
+        /**
+         * Returns whether the content results from a prefix of the changes, which includes all that were confirmed
+         * when the file had this size.
+         */
         boolean isPrefix(Map<String, String> found, String file, int size) {
             int confirmed = written.stream()
                     .filter(each -> !each.file.equals(file) || each.size <= size)
-                    .mapToInt(Written::ops)
+                    .mapToInt(Written::changeCount)
                     .max()
                     .orElse(0);
             return after.subList(confirmed, after.size()).contains(found);
         }
     }
 
-    /** A batch: the file that it went to, its size then, and all changes up to its end. */
-    private record Written(String file, int size, int ops) {}
+    /** A batch: its file, the size of the file after it, and the number of changes so far. */
+    private record Written(String file, int size, int changeCount) {}
 
-    private static Story story(int seed) throws IOException {
+    private static History history(int seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
@@ -87,80 +90,82 @@
                 apply(model, List.of(mutation));
                 after.add(new TreeMap<>(model));
             }
-            written.add(new Written(last(disk), disk.bytes(last(disk)).length, after.size() - 1));
+            written.add(
+                    new Written(activeSegmentName(disk), disk.bytes(activeSegmentName(disk)).length, after.size() - 1));
             if (log.wantsCompaction()) {
                 log.compact(1024);
             }
         }
-        return new Story(disk, after, written);
+        return new History(disk, after, written);
     }
 
-    private static String last(PowerCutDisk disk) throws IOException {
+    private static String activeSegmentName(PowerCutDisk disk) throws IOException {
         List<Manifest.Entry> entries = Manifest.read(disk).segments();
         return Segment.fileName(entries.get(entries.size() - 1).segment());
     }
 
-    /** Recovers twice; the second time finds what the first left. */
+    /** Recovers twice, and checks that the second recovery finds the result of the first. */
     private static Map<String, String> recover(PowerCutDisk disk) throws IOException {
         Recovery.Recovered first = Recovery.run(disk, LIMITS, false);
-        Map<String, String> content = content(first.log());
+        Map<String, String> content = contentOf(first.log());
         Recovery.Recovered second = Recovery.run(disk.copy(), LIMITS, false);
-        assertEquals(content, content(second.log()));
+        assertEquals(content, contentOf(second.log()));
         assertEquals(0, second.report().cutBytes());
         return content;
     }
 
     @Test
-    void eachFileCutAtEachByteGivesAConsistentAnswer() throws IOException {
-        Story story = story(1);
-        Map<String, String> full = story.after.get(story.after.size() - 1);
-        String active = last(story.disk);
-        int refused = 0;
-        for (String name : story.disk.names()) {
-            byte[] bytes = story.disk.bytes(name);
+    void fileTruncatedAtAnyByteIsRecoveredOrRejected() throws IOException {
+        History history = history(1);
+        Map<String, String> full = history.after.get(history.after.size() - 1);
+        String active = activeSegmentName(history.disk);
+        int rejected = 0;
+        for (String name : history.disk.names()) {
+            byte[] bytes = history.disk.bytes(name);
             for (int length = 0; length < bytes.length; length++) {
-                PowerCutDisk cut = story.disk.copy();
-                cut.set(name, Arrays.copyOf(bytes, length));
+                PowerCutDisk truncatedDisk = history.disk.copy();
+                truncatedDisk.set(name, Arrays.copyOf(bytes, length));
                 try {
-                    Map<String, String> found = recover(cut);
+                    Map<String, String> found = recover(truncatedDisk);
                     if (name.equals(active)) {
-                        assertTrue(story.isPrefix(found, name, length), name + " cut at " + length + " gives " + found);
+                        assertTrue(
+                                history.isPrefix(found, name, length), name + " cut at " + length + " gives " + found);
                     } else {
                         assertEquals(full, found, name + " cut at " + length);
                     }
                 } catch (StoreException e) {
-                    refused++;
+                    rejected++;
                     assertTrue(
                             name.startsWith("segment-") || name.equals(Manifest.NAME),
                             name + " cut at " + length + ": " + e.getMessage());
                 }
             }
         }
-        assertTrue(refused > 0, "a finished segment that is too short is told");
+        assertTrue(rejected > 0, "a sealed segment that is too short must be rejected");
     }
 
     @Test
-    void eachByteThatIsFlippedIsFoundOrDoesNoHarm() throws IOException {
-        Story story = story(2);
-        Map<String, String> full = story.after.get(story.after.size() - 1);
-        String active = last(story.disk);
-        int torn = 0;
-        for (String name : story.disk.names()) {
-            byte[] bytes = story.disk.bytes(name);
+    void flippedBitInAnyByteIsDetectedOrHarmless() throws IOException {
+        History history = history(2);
+        Map<String, String> full = history.after.get(history.after.size() - 1);
+        String active = activeSegmentName(history.disk);
+        int truncated = 0;
+        for (String name : history.disk.names()) {
+            byte[] bytes = history.disk.bytes(name);
             for (int at = 0; at < bytes.length; at++) {
-                PowerCutDisk flipped = story.disk.copy();
+                PowerCutDisk flipped = history.disk.copy();
                 byte[] changed = bytes.clone();
                 changed[at] ^= (byte) (1 << at % 8);
                 flipped.set(name, changed);
                 try {
                     Recovery.Recovered recovered = Recovery.run(flipped, LIMITS, false);
-                    Map<String, String> found = content(recovered.log());
+                    Map<String, String> found = contentOf(recovered.log());
                     if (recovered.report().cutBytes() > 0) {
-                        torn++;
+                        truncated++;
                         assertEquals(active, name);
-                        Written earlier = story.written.get(story.written.size() - 2);
+                        Written earlier = history.written.get(history.written.size() - 2);
                         int before = earlier.file.equals(active) ? earlier.size : Records.SEGMENT_HEADER_BYTES;
-                        assertTrue(story.isPrefix(found, name, before), "no more than the last batch is lost");
+                        assertTrue(history.isPrefix(found, name, before), "only the last batch may be lost");
                     } else {
                         assertEquals(full, found, name + " flipped at " + at);
                     }
@@ -172,25 +177,25 @@
                 }
             }
         }
-        assertTrue(torn > 0, "the last batch can't be told from one that a cut tore, and is reported as cut off");
+        assertTrue(truncated > 0, "a corrupt last batch looks like a torn write, and is reported as truncated");
     }
 
     @Test
-    void aCutAtAnyStepOfRollingCompactionAndRecoveryLosesNothingThatWasConfirmed() throws IOException {
+    void powerCutAtAnyStepLosesNoConfirmedChange() throws IOException {
         for (int steps = 0; steps < 700; steps++) {
             SplittableRandom random = new SplittableRandom(steps);
             PowerCutDisk disk = new PowerCutDisk();
             disk.cutAfter(steps);
             Map<String, String> confirmed = new TreeMap<>();
-            List<Mutation> tried = List.of();
+            List<Mutation> attempted = List.of();
             boolean cut = false;
             try {
                 SegmentLog log = Recovery.run(disk, LIMITS, false).log();
                 for (int turn = 0; turn < 160; turn++) {
-                    tried = batch(random, turn);
-                    log.append(tried);
-                    apply(confirmed, tried);
-                    tried = List.of();
+                    attempted = batch(random, turn);
+                    log.append(attempted);
+                    apply(confirmed, attempted);
+                    attempted = List.of();
                     if (log.wantsCompaction()) {
                         log.compact(1024);
                     }
@@ -198,85 +203,85 @@
             } catch (PowerCutDisk.PowerCut e) {
                 cut = true;
             }
-            PowerCutDisk left = disk.cut(random);
-            // The power goes again while it recovers, at ever later steps.
+            PowerCutDisk remaining = disk.cut(random);
+            // Cuts the power again during recovery, one step later each time.
             for (int again = 0; again < 6; again++) {
-                left.cutAfter(again);
+                remaining.cutAfter(again);
                 try {
-                    Recovery.run(left, LIMITS, false);
+                    Recovery.run(remaining, LIMITS, false);
                 } catch (PowerCutDisk.PowerCut e) {
-                    left = left.cut(random);
+                    remaining = remaining.cut(random);
                 }
             }
-            left.cutAfter(-1);
-            Map<String, String> found = recover(left);
-            boolean known = found.equals(confirmed);
-            Map<String, String> more = new TreeMap<>(confirmed);
-            for (Mutation mutation : tried) { // what was not confirmed may be there, in its order and no further
-                apply(more, List.of(mutation));
-                known |= found.equals(more);
+            remaining.cutAfter(-1);
+            Map<String, String> found = recover(remaining);
+            boolean matches = found.equals(confirmed);
+            Map<String, String> expected = new TreeMap<>(confirmed);
+            for (Mutation mutation : attempted) { // a prefix of the unconfirmed batch may have been written
+                apply(expected, List.of(mutation));
+                matches |= found.equals(expected);
             }
-            assertTrue(known, "cut " + cut + " after " + steps + " steps: " + confirmed + " but found " + found);
+            assertTrue(matches, "cut " + cut + " after " + steps + " steps: " + confirmed + " but found " + found);
         }
     }
 
     @Test
-    void damageInWhatWasConfirmedIsRefusedOrPutAsideAndNeverSkipped() throws IOException {
+    void corruptConfirmedDataIsRejectedOrQuarantinedAndNeverSkipped() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         for (int i = 0; i < 60; i++) {
             log.append(List.of(mutation("k" + i, "v".repeat(200))));
         }
-        String first = disk.names().stream()
+        String firstSegment = disk.names().stream()
                 .filter(name -> name.startsWith("segment-"))
                 .findFirst()
                 .orElseThrow();
-        disk.delete(first.replace("segment", "checkpoint"));
-        byte[] bytes = disk.bytes(first).clone();
+        disk.delete(firstSegment.replace("segment", "checkpoint"));
+        byte[] bytes = disk.bytes(firstSegment).clone();
         bytes[1000] ^= 4;
-        disk.set(first, bytes);
-        PowerCutDisk refusedOn = disk.copy();
-        StoreException refused = assertThrows(StoreException.class, () -> Recovery.run(refusedOn, LIMITS, false));
+        disk.set(firstSegment, bytes);
+        PowerCutDisk rejectedDisk = disk.copy();
+        StoreException rejection = assertThrows(StoreException.class, () -> Recovery.run(rejectedDisk, LIMITS, false));
         assertTrue(
-                refused.getMessage().contains(first + ": bytes ")
-                        && refused.getMessage().contains("nothing was changed"),
-                refused.getMessage());
-        assertArrayEquals(bytes, refusedOn.bytes(first));
+                rejection.getMessage().contains(firstSegment + ": bytes ")
+                        && rejection.getMessage().contains("nothing was changed"),
+                rejection.getMessage());
+        assertArrayEquals(bytes, rejectedDisk.bytes(firstSegment));
         PowerCutDisk degraded = disk.copy();
         Recovery.Recovered recovered = Recovery.run(degraded, LIMITS, true);
-        assertEquals(59, content(recovered.log()).size(), "all but the one that was hit");
+        assertEquals(59, contentOf(recovered.log()).size(), "all keys except the corrupt one");
         assertEquals(1, recovered.report().damage().size());
         assertArrayEquals(
                 bytes,
-                degraded.bytes(first.replace("segment", "quarantine")),
-                "what is damaged is kept to be looked at");
+                degraded.bytes(firstSegment.replace("segment", "quarantine")),
+                "the corrupt segment is kept for inspection");
         recovered.log().append(List.of(mutation("new", "1")));
         Recovery.Recovered again = Recovery.run(degraded.copy(), LIMITS, false);
-        assertEquals(60, content(again.log()).size());
-        assertEquals(List.of(), again.report().damage(), "told once, and put aside");
+        assertEquals(60, contentOf(again.log()).size());
+        assertEquals(List.of(), again.report().damage(), "the damage is reported once");
         PowerCutDisk missing = disk.copy();
-        missing.delete(first);
+        missing.delete(firstSegment);
         assertTrue(assertThrows(StoreException.class, () -> Recovery.run(missing, LIMITS, false))
                 .getMessage()
-                .contains(first + " is missing"));
+                .contains(firstSegment + " is missing"));
     }
 
     @Test
-    void aForceThatFailsIsFinalForItsSegmentAndNothingOfItComesBack() throws IOException {
+    void failedForceEndsItsSegmentAndItsBatchNeverReappears() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         log.append(List.of(mutation("a", "1")));
         disk.failForces(1);
         assertThrows(IOException.class, () -> log.append(List.of(mutation("b", "2"))));
         log.append(List.of(mutation("c", "3")));
-        assertEquals(Map.of("a", "1", "c", "3"), content(log));
-        assertEquals(2, Manifest.read(disk).segments().size(), "it goes on in another segment");
+        assertEquals(Map.of("a", "1", "c", "3"), contentOf(log));
+        assertEquals(2, Manifest.read(disk).segments().size(), "the log continues in a new segment");
         assertEquals(Map.of("a", "1", "c", "3"), recover(disk.cut(new SplittableRandom(1))));
         assertEquals(Map.of("a", "1", "c", "3"), recover(disk.copy()));
     }
 
     @Test
-    void aDiskThatFillsDuringCompactionLosesNothingAndGoesOnWhenItHasRoomAgain() throws IOException {
+    void diskThatFillsDuringCompactionLosesNothingAndCompactionResumesLater() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         disk.shortTransfers();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
@@ -288,33 +293,33 @@
         }
         int full = 0;
         long before = log.usedBytes();
-        for (int room = 0; log.wantsCompaction() && room < 20_000; room += 97) {
-            disk.room(room);
+        for (int freeBytes = 0; log.wantsCompaction() && freeBytes < 20_000; freeBytes += 97) {
+            disk.setFreeBytes(freeBytes);
             try {
                 log.compact(LIMITS.segment() / 2);
             } catch (IOException e) {
                 full++;
                 assertTrue(e.getMessage().contains("no space"), e.getMessage());
             }
-            assertEquals(model, content(log));
-            assertEquals(model, recover(disk.cut(new SplittableRandom(room))));
+            assertEquals(model, contentOf(log));
+            assertEquals(model, recover(disk.cut(new SplittableRandom(freeBytes))));
         }
-        assertTrue(full > 3, "it ran full at several steps: " + full);
-        disk.room(Long.MAX_VALUE);
+        assertTrue(full > 3, "the disk must fill up at several steps: " + full);
+        disk.setFreeBytes(Long.MAX_VALUE);
         while (log.wantsCompaction()) {
             log.compact(LIMITS.segment() / 2);
         }
         assertTrue(log.usedBytes() < before);
-        assertEquals(model, content(log));
+        assertEquals(model, contentOf(log));
         assertEquals(model, recover(disk.copy()));
     }
 
     @Test
-    void whatANewerProgramHasWrittenIsLeftAlone() throws IOException {
+    void segmentWithRecordsOfANewerFormatIsRejectedUnchanged() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         log.append(List.of(mutation("a", "1")));
-        String name = last(disk);
+        String name = activeSegmentName(disk);
         byte[] bytes = disk.bytes(name).clone();
         java.nio.ByteBuffer record = java.nio.ByteBuffer.allocate(100);
         Records.write(record, 0, bytes.length, bytes.length, (byte) 9, new byte[] {1}, new byte[] {2});
@@ -327,11 +332,11 @@
     }
 
     @Test
-    void aDeletionStaysForAsLongAsAnOlderSegmentHoldsWhatItDeletes() throws IOException {
+    void deletionIsKeptWhileAnOlderSegmentHoldsTheDeletedRecord() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         Map<String, String> model = new TreeMap<>();
-        for (int i = 0; i < 12; i++) { // more than three segments in which all but one key lives
+        for (int i = 0; i < 12; i++) { // more than three segments in which all keys but one stay live
             List<Mutation> batch =
                     List.of(mutation("live" + i, "v".repeat(1000)), mutation(i == 0 ? "x" : "more" + i, "old"));
             log.append(batch);
@@ -352,7 +357,7 @@
     }
 
     @Test
-    void deletionsGoWhenNothingIsLeftThatTheyDelete() throws IOException {
+    void deletionsAreDroppedWhenNoOlderRecordIsLeft() throws IOException {
         PowerCutDisk disk = new PowerCutDisk();
         SegmentLog log = Recovery.run(disk, LIMITS, false).log();
         for (int i = 0; i < 400; i++) {
--- a/src/test/java/ivybank/store/StoreBenchmark.java
+++ b/src/test/java/ivybank/store/StoreBenchmark.java
@@ -23,20 +23,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What a promise costs, by hand: {@code mvn test -Dtest=StoreBenchmark -Dstore.benchmark=true}. The same bytes go to the same
- * disk in the same run by a bare append and force, by the store and by H2's MVStore, in turns; the table is left in
- * target/store-benchmark.md.
+ * Measures the cost of a promise. It runs by hand only: {@code mvn test -Dtest=StoreBenchmark -Dstore.benchmark=true}.
+ * A bare append with a force, the store, and H2's MVStore write the same bytes to the same disk in alternate rounds.
+ * The table is written to target/store-benchmark.md.
  */
 @EnabledIfSystemProperty(named = "store.benchmark", matches = "true")
 class StoreBenchmark {
 
-    private static final int VALUE = 200;
+    private static final int VALUE_BYTES = 200;
     private static final int ROUNDS = 3;
     private static final long ROUND_NANOS = 1_500_000_000L;
     private static final Limits LIMITS = new Limits(4L << 30, 8 << 20, 1 << 16, 16 << 20);
 
-    /** Records a second, and the time to confirm one in ms. */
-    private record Row(double rate, double p50, double p99) {}
+    /** A result: records per second, and percentiles of the time to confirm a record, in ms. */
+    private record Result(double rate, double p50, double p99) {}
 
     @TempDir
     Path dir;
@@ -47,19 +47,19 @@
         return String.format(Locale.ROOT, "record-submit\nevent-%012d", number).getBytes(StandardCharsets.UTF_8);
     }
 
-    private Path fresh(String name) throws IOException {
+    private Path newFolder(String name) throws IOException {
         return Files.createTempDirectory(dir, name);
     }
 
-    private Row bare(int waiting) throws IOException {
+    private Result measureBareAppend(int waiting) throws IOException {
         Histogram times = new Histogram(3);
         long count = 0;
-        long from = System.nanoTime();
-        try (FileChannel file =
-                FileChannel.open(fresh("bare").resolve("log"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            byte[] record = new byte[Records.encodedBytes(key(0), new byte[VALUE])];
-            while (System.nanoTime() - from < ROUND_NANOS) {
-                long began = System.nanoTime();
+        long beginNanos = System.nanoTime();
+        try (FileChannel file = FileChannel.open(
+                newFolder("bare").resolve("log"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+            byte[] record = new byte[Records.encodedBytes(key(0), new byte[VALUE_BYTES])];
+            while (System.nanoTime() - beginNanos < ROUND_NANOS) {
+                long startNanos = System.nanoTime();
                 ByteBuffer batch = ByteBuffer.allocate(record.length * waiting);
                 for (int i = 0; i < waiting; i++) {
                     batch.put(record);
@@ -69,16 +69,16 @@
                     file.write(batch);
                 }
                 file.force(false);
-                times.recordValueWithCount(System.nanoTime() - began, waiting);
+                times.recordValueWithCount(System.nanoTime() - startNanos, waiting);
                 count += waiting;
             }
         }
-        return row(count, from, times);
+        return result(count, beginNanos, times);
     }
 
-    private static Row row(long count, long from, Histogram times) {
-        return new Row(
-                count * 1e9 / (System.nanoTime() - from),
+    private static Result result(long count, long beginNanos, Histogram times) {
+        return new Result(
+                count * 1e9 / (System.nanoTime() - beginNanos),
                 times.getValueAtPercentile(50) / 1e6,
                 times.getValueAtPercentile(99) / 1e6);
     }
@@ -87,20 +87,20 @@
         return Store.open(FileSystemDisk.lock(folder), LIMITS, false, (key, value) -> {}, Thread::new);
     }
 
-    /** {@code keys}: how many different ones; few of them leave much to compact. */
-    private Row store(int waiting, long keys) throws Exception {
-        Histogram times = new Histogram(3); // filled on the store's one thread
+    /** Measures the store with a number of different keys. A small number leaves much to compact. */
+    private Result measureStore(int waiting, long keys) throws Exception {
+        Histogram times = new Histogram(3); // written by the store's writer thread only
         AtomicLong next = new AtomicLong();
-        AtomicInteger out = new AtomicInteger(waiting);
-        CountDownLatch over = new CountDownLatch(1);
-        byte[] value = new byte[VALUE];
-        long from = System.nanoTime();
-        try (Store store = open(fresh("store"))) {
+        AtomicInteger activeWriters = new AtomicInteger(waiting);
+        CountDownLatch finished = new CountDownLatch(1);
+        byte[] value = new byte[VALUE_BYTES];
+        long beginNanos = System.nanoTime();
+        try (Store store = open(newFolder("store"))) {
             for (int i = 0; i < waiting; i++) {
-                putNext(store, next, keys, value, times, from, out, over);
+                putNext(store, next, keys, value, times, beginNanos, activeWriters, finished);
             }
-            over.await();
-            return row(times.getTotalCount(), from, times);
+            finished.await();
+            return result(times.getTotalCount(), beginNanos, times);
         }
     }
 
@@ -110,72 +110,74 @@
             long keys,
             byte[] value,
             Histogram times,
-            long from,
-            AtomicInteger out,
-            CountDownLatch over) {
-        long began = System.nanoTime();
+            long beginNanos,
+            AtomicInteger activeWriters,
+            CountDownLatch finished) {
+        long startNanos = System.nanoTime();
         store.put(key(next.getAndIncrement() % keys), value, outcome -> {
             if (outcome != Store.Outcome.CONFIRMED) {
                 throw new IllegalStateException(outcome.toString());
             }
-            times.recordValue(System.nanoTime() - began);
-            if (System.nanoTime() - from < ROUND_NANOS) {
-                putNext(store, next, keys, value, times, from, out, over);
-            } else if (out.decrementAndGet() == 0) {
-                over.countDown();
+            times.recordValue(System.nanoTime() - startNanos);
+            if (System.nanoTime() - beginNanos < ROUND_NANOS) {
+                putNext(store, next, keys, value, times, beginNanos, activeWriters, finished);
+            } else if (activeWriters.decrementAndGet() == 0) {
+                finished.countDown();
             }
         });
     }
 
-    private Row mvstore(int waiting) throws IOException {
+    private Result measureMvStore(int waiting) throws IOException {
         Histogram times = new Histogram(3);
         long count = 0;
-        long from = System.nanoTime();
+        long beginNanos = System.nanoTime();
         try (MVStore store = new MVStore.Builder()
-                .fileName(fresh("mv").resolve("mv").toString())
+                .fileName(newFolder("mv").resolve("mv").toString())
                 .autoCommitDisabled()
                 .open()) {
             MVMap<String, byte[]> map = store.openMap("promises");
-            while (System.nanoTime() - from < ROUND_NANOS) {
-                long began = System.nanoTime();
+            while (System.nanoTime() - beginNanos < ROUND_NANOS) {
+                long startNanos = System.nanoTime();
                 for (int i = 0; i < waiting; i++) {
-                    map.put(new String(key(count++), StandardCharsets.UTF_8), new byte[VALUE]);
+                    map.put(new String(key(count++), StandardCharsets.UTF_8), new byte[VALUE_BYTES]);
                 }
                 store.commit();
                 store.sync();
-                times.recordValueWithCount(System.nanoTime() - began, waiting);
+                times.recordValueWithCount(System.nanoTime() - startNanos, waiting);
             }
         }
-        return row(count, from, times);
+        return result(count, beginNanos, times);
     }
 
-    private interface Play {
-        Row play() throws Exception;
+    private interface Measurement {
+        Result run() throws Exception;
     }
 
-    private Row median(List<Row> rows) {
+    private Result median(List<Result> rows) {
         rows.sort((one, other) -> Double.compare(one.rate, other.rate));
         return rows.get(rows.size() / 2);
     }
 
     @Test
-    void againstABareAppendAndMvStore() throws Exception {
+    void comparesStoreWithBareAppendAndMvStore() throws Exception {
         table.append(
                 "| waiting | bare/s | p50, p99 ms | store/s | p50, p99 ms | store against bare | MVStore/s | p50, p99 ms |\n"
                         + "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-        store(16, Long.MAX_VALUE); // warm
+        measureStore(16, Long.MAX_VALUE); // warm-up
         for (int waiting : new int[] {1, 16, 256}) {
-            List<Play> plays =
-                    List.of(() -> bare(waiting), () -> store(waiting, Long.MAX_VALUE), () -> mvstore(waiting));
-            List<List<Row>> rows = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+            List<Measurement> measurements = List.of(
+                    () -> measureBareAppend(waiting),
+                    () -> measureStore(waiting, Long.MAX_VALUE),
+                    () -> measureMvStore(waiting));
+            List<List<Result>> rows = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
             for (int round = 0; round < ROUNDS; round++) {
-                for (int i = 0; i < plays.size(); i++) {
-                    rows.get(i).add(plays.get(i).play());
+                for (int i = 0; i < measurements.size(); i++) {
+                    rows.get(i).add(measurements.get(i).run());
                 }
             }
-            Row bare = median(rows.get(0));
-            Row store = median(rows.get(1));
-            Row mv = median(rows.get(2));
+            Result bare = median(rows.get(0));
+            Result store = median(rows.get(1));
+            Result mv = median(rows.get(2));
             table.append(String.format(
                     Locale.ROOT,
                     "| %d | %.0f | %.2f, %.2f | %.0f | %.2f, %.2f | %.2f | %.0f | %.2f, %.2f |%n",
@@ -191,60 +193,60 @@
                     mv.p50,
                     mv.p99));
         }
-        Row without = store(16, Long.MAX_VALUE);
-        Row with = store(16, 5000);
+        Result without = measureStore(16, Long.MAX_VALUE);
+        Result with = measureStore(16, 5000);
         table.append(String.format(
                 Locale.ROOT,
                 "%n16 waiting, p99: %.2f ms with nothing to compact, %.2f ms with 5,000 keys written over and over%n",
                 without.p99,
                 with.p99));
-        million();
+        measureRecovery();
         Files.writeString(Path.of("target/store-benchmark.md"), table);
         System.out.println(table);
     }
 
-    private void million() throws Exception {
-        Path folder = fresh("million");
+    private void measureRecovery() throws Exception {
+        Path folder = newFolder("million");
         try (Store store = open(folder)) {
             CountDownLatch all = new CountDownLatch(1_000_000);
-            AtomicInteger busy = new AtomicInteger();
+            AtomicInteger unconfirmed = new AtomicInteger();
             for (int i = 0; i < 1_000_000; i++) {
                 while (store.statistics().pending() > 20_000) {
                     Thread.sleep(1);
                 }
-                store.put(key(i), new byte[VALUE], outcome -> {
-                    busy.addAndGet(outcome == Store.Outcome.CONFIRMED ? 0 : 1);
+                store.put(key(i), new byte[VALUE_BYTES], outcome -> {
+                    unconfirmed.addAndGet(outcome == Store.Outcome.CONFIRMED ? 0 : 1);
                     all.countDown();
                 });
             }
             all.await();
             table.append("\n1,000,000 records")
-                    .append(busy.get() > 0 ? ", " + busy + " of them turned away" : "")
+                    .append(unconfirmed.get() > 0 ? ", " + unconfirmed + " of them not confirmed" : "")
                     .append(": ");
         }
-        long before = used();
-        long from = System.nanoTime();
+        long before = usedHeapBytes();
+        long beginNanos = System.nanoTime();
         Recovery.Recovered recovered = Recovery.run(FileSystemDisk.lock(folder), LIMITS, false);
-        double tookMs = (System.nanoTime() - from) / 1e6;
-        long memory = used() - before;
+        double tookMs = (System.nanoTime() - beginNanos) / 1e6;
+        long indexBytes = usedHeapBytes() - before;
         table.append(String.format(
                 Locale.ROOT,
                 "recovered by checkpoints in %.0f ms, %d MB of memory for the index",
                 tookMs,
-                memory >> 20));
+                indexBytes >> 20));
         recovered.log().closeWithoutManifest();
         deleteCheckpoints(folder);
-        from = System.nanoTime();
+        beginNanos = System.nanoTime();
         recovered = Recovery.run(FileSystemDisk.lock(folder), LIMITS, false);
         table.append(String.format(
                 Locale.ROOT,
                 "; without them in %.0f ms (%d keys)%n",
-                (System.nanoTime() - from) / 1e6,
+                (System.nanoTime() - beginNanos) / 1e6,
                 recovered.report().keys()));
         recovered.log().closeWithoutManifest();
     }
 
-    private static long used() throws InterruptedException {
+    private static long usedHeapBytes() throws InterruptedException {
         long[] all = new long[3];
         for (int i = 0; i < all.length; i++) {
             System.gc();
