--- a/src/main/java/ivybank/promises/PromiseTable.java
+++ b/src/main/java/ivybank/promises/PromiseTable.java
@@ -51,9 +51,11 @@
 
     /** Receives each identity that is forgotten, so that its record can be deleted. */
     public interface ForgetListener {
+        /** Receives a forgotten identity and its last state. */
         void onForgotten(String identity, State was);
     }
 
+    /** An identity whose request has ended, with the time of its end. */
     private record Settled(State state, double sinceMs) {}
 
     private final double keepMs;
@@ -172,6 +174,7 @@
         settled.put(identity, new Settled(state, sinceMs));
     }
 
+    /** Returns the current statistics. */
     public Statistics statistics() {
         return new Statistics(
                 pending.size(),
--- a/src/main/java/ivybank/store/Checkpoint.java
+++ b/src/main/java/ivybank/store/Checkpoint.java
@@ -14,6 +14,7 @@
     private static final int MAGIC = 0x4956594b; // IVYK
     private static final int FORMAT = 1;
     private static final int HEADER_BYTES = 24;
+    private static final int CHECKSUM_BYTES = 4;
     private static final int MAX_FILE_BYTES = 1 << 28;
 
     /** Receives the records of a segment in order. */
@@ -42,7 +43,7 @@
 
         /** Writes the checkpoint file. It is not forced, because a torn one is detected and ignored. */
         void write(Disk disk, Segment segment) throws IOException {
-            ByteBuffer content = ByteBuffer.allocate(HEADER_BYTES + bytes.size() + 4);
+            ByteBuffer content = ByteBuffer.allocate(HEADER_BYTES + bytes.size() + CHECKSUM_BYTES);
             content.putInt(MAGIC)
                     .putInt(FORMAT)
                     .putLong(segment.number)
@@ -66,7 +67,7 @@
      */
     static boolean read(Disk disk, Segment segment, Visitor visitor) throws IOException {
         ByteBuffer bytes = Disk.readAll(disk, Segment.checkpointFileName(segment.number), MAX_FILE_BYTES);
-        int end = bytes.limit() - 4;
+        int end = bytes.limit() - CHECKSUM_BYTES;
         if (end < HEADER_BYTES
                 || bytes.getInt(0) != MAGIC
                 || bytes.getInt(4) != FORMAT
--- a/src/main/java/ivybank/store/Disk.java
+++ b/src/main/java/ivybank/store/Disk.java
@@ -15,6 +15,7 @@
     /** An open file. */
     interface File extends Closeable {
 
+        /** Returns the size of the file in bytes. */
         long size() throws IOException;
 
         /**
@@ -25,12 +26,14 @@
         /** Writes the remaining bytes of the buffer. Returns the number of bytes written, possibly fewer. */
         int write(long offset, ByteBuffer from) throws IOException;
 
+        /** Shortens the file to a size. */
         void truncate(long size) throws IOException;
 
         /** Returns when all writes are on the disk. After a failure the state of earlier unforced writes is unknown. */
         void force() throws IOException;
     }
 
+    /** Returns the names of all files of the folder, sorted. */
     List<String> names() throws IOException;
 
     /** Creates a file that must not exist yet. */
--- a/src/main/java/ivybank/store/Manifest.java
+++ b/src/main/java/ivybank/store/Manifest.java
@@ -21,6 +21,9 @@
     private static final int MAGIC = 0x4956594d; // IVYM
     private static final int FORMAT = 1;
     private static final int HEADER_BYTES = 32;
+    private static final int SEGMENT_ENTRY_BYTES = 12;
+    private static final int QUARANTINED_ENTRY_BYTES = 8;
+    private static final int CHECKSUM_BYTES = 4;
     private static final int MAX_FILE_BYTES = 1 << 20;
 
     /** A segment and its confirmed size. Only the last segment may hold confirmed records beyond that size. */
@@ -43,7 +46,10 @@
 
     /** Replaces the manifest file. */
     void write(Disk disk) throws IOException {
-        int length = HEADER_BYTES + 12 * segments.size() + 8 * quarantined.size() + 4;
+        int length = HEADER_BYTES
+                + SEGMENT_ENTRY_BYTES * segments.size()
+                + QUARANTINED_ENTRY_BYTES * quarantined.size()
+                + CHECKSUM_BYTES;
         ByteBuffer bytes = ByteBuffer.allocate(2 * length);
         for (int copy = 0; copy < 2; copy++) {
             int start = bytes.position();
@@ -56,7 +62,7 @@
                     .putInt(0);
             segments.forEach(entry -> bytes.putLong(entry.segment).putInt(entry.confirmedBytes));
             quarantined.forEach(bytes::putLong);
-            bytes.putInt(Records.checksum(bytes.array(), start, length - 4));
+            bytes.putInt(Records.checksum(bytes.array(), start, length - CHECKSUM_BYTES));
         }
         disk.delete(TEMPORARY_NAME);
         try (Disk.File file = disk.create(TEMPORARY_NAME)) {
@@ -82,11 +88,13 @@
                         + " folder, or move it away to start with an empty one");
     }
 
+    /** Parses the copy that begins at {@code start}. Returns null if its length or checksum is wrong. */
     private static Manifest parseCopy(ByteBuffer bytes, int start) throws StoreException {
         int length = bytes.getInt(start + 8);
-        if (length < HEADER_BYTES + 4
+        if (length < HEADER_BYTES + CHECKSUM_BYTES
                 || length > bytes.limit() - start
-                || Records.checksum(bytes.array(), start, length - 4) != bytes.getInt(start + length - 4)) {
+                || Records.checksum(bytes.array(), start, length - CHECKSUM_BYTES)
+                        != bytes.getInt(start + length - CHECKSUM_BYTES)) {
             return null;
         }
         Records.rejectNewerFormat(bytes.getInt(start + 4), FORMAT, "the manifest");
@@ -95,10 +103,10 @@
         int segmentCount = bytes.getInt(start + 20);
         int quarantinedCount = bytes.getInt(start + 24);
         int position = start + HEADER_BYTES;
-        for (int i = 0; i < segmentCount; i++, position += 12) {
+        for (int i = 0; i < segmentCount; i++, position += SEGMENT_ENTRY_BYTES) {
             segments.add(new Entry(bytes.getLong(position), bytes.getInt(position + 8)));
         }
-        for (int i = 0; i < quarantinedCount; i++, position += 8) {
+        for (int i = 0; i < quarantinedCount; i++, position += QUARANTINED_ENTRY_BYTES) {
             quarantined.add(bytes.getLong(position));
         }
         return new Manifest(bytes.getLong(start + 12), segments, quarantined);
--- a/src/main/java/ivybank/store/Recovery.java
+++ b/src/main/java/ivybank/store/Recovery.java
@@ -101,7 +101,7 @@
             loadSegment(manifest.segments().get(i), i == manifest.segments().size() - 1, names);
         }
         if (!damage.isEmpty() && !degrade) {
-            throw new StoreException("confirmed data are corrupt; nothing was changed: " + String.join("; ", damage)
+            throw new StoreException("confirmed data are corrupt (nothing was changed): " + String.join("; ", damage)
                     + "; restore a copy of the folder, or allow the store to go on without these data");
         }
         if (segments.isEmpty() || segmentsReplaced) {
--- a/src/main/java/ivybank/store/Store.java
+++ b/src/main/java/ivybank/store/Store.java
@@ -32,9 +32,13 @@
 
     /** The condition of the store. */
     public enum State {
+        /** Changes are accepted and confirmed. */
         GOOD,
+        /** The size limit is reached; only deletions are accepted. */
         FULL,
+        /** The last write failed; the disk is tried again at intervals. */
         FAILING,
+        /** The writer has stopped; nothing is accepted. */
         CLOSED
     }
 
@@ -82,7 +86,9 @@
     private long confirmedCount;
     private long batchCount;
     private double longestForceMs;
+    /** Time before which neither a repair nor a compaction is tried again after a failure. */
     private long retryAtNanos;
+
     private volatile IOException closeFailure;
 
     private Store(SegmentLog log, Limits limits, RecoveryReport report, ThreadFactory threads) {
@@ -125,6 +131,7 @@
         return closeFailure;
     }
 
+    /** Returns the statistics after the latest step of the writer. */
     public Statistics statistics() {
         return statistics;
     }
--- a/src/main/java/ivybank/store/StoreException.java
+++ b/src/main/java/ivybank/store/StoreException.java
@@ -7,6 +7,7 @@
 
     private static final long serialVersionUID = 1L;
 
+    /** Creates an exception with a one-line message. */
     public StoreException(String message) {
         super(message);
     }
--- a/src/main/java/ivybank/store/StoreIdentity.java
+++ b/src/main/java/ivybank/store/StoreIdentity.java
@@ -104,6 +104,7 @@
                 + " that the folder belongs to this sidecar");
     }
 
+    /** Returns the content of the identity file, which ends with a checksum of the lines before it. */
     private String text() {
         String text = FIRST_LINE + "\n" + OWNER_PREFIX + owner + "\n" + ID_PREFIX + id + "\n" + INCARNATION_PREFIX
                 + incarnation + "\n";
