--- a/src/main/java/ivybank/daemon/Config.java
+++ b/src/main/java/ivybank/daemon/Config.java
@@ -6,7 +6,7 @@
 import ivybank.discovery.HostUpdate;
 import ivybank.discovery.Timing;
 import ivybank.policy.Balancer.Settings;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -105,11 +105,11 @@
                 (int) number(root, "/limits/sockets", SOCKETS_UNKNOWN),
                 number(settings, "/limits/connectTimeoutMs", CONNECT_TIMEOUT_MS_UNKNOWN),
                 number(settings, "/limits/connIdleMs", IDLE_MS_UNKNOWN),
-                number(settings, "/contract/drainGraceMs", Timing.USUAL_GRACE_MS),
+                number(settings, "/contract/drainGraceMs", Timing.DEFAULT_DRAIN_GRACE_MS),
                 words(settings.path("failureDomains")),
                 words(settings.path("kinds")),
-                known.isObject() ? HostUpdate.read(known) : HostUpdate.NOTHING_KNOWN,
-                SettingsText.parse(text.toString()),
+                known.isObject() ? HostUpdate.read(known) : HostUpdate.EMPTY,
+                SettingsParser.parse(text.toString()),
                 limits(root.path("limits")));
     }
 
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -3,13 +3,13 @@
 import io.netty.channel.EventLoop;
 import ivybank.client.ClientServer;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
-import ivybank.handover.Memory;
-import ivybank.handover.MemoryFiles;
-import ivybank.supervision.Chain;
+import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.HandoverSnapshotFiles;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
+import ivybank.supervision.SupervisedTask;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Comparator;
@@ -42,10 +42,10 @@
     private final EventLoop loop;
     private final RequestDispatcher dispatcher;
     private final ClientServer server;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Clock clock;
     private final Log log;
-    private final MemoryFiles files;
+    private final HandoverSnapshotFiles files;
     private final ScheduledExecutorService thread;
     private volatile boolean company;
     // Used by the thread alone.
@@ -58,7 +58,7 @@
             EventLoop loop,
             RequestDispatcher dispatcher,
             ClientServer server,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             Clock clock,
             Log log) {
         this.loop = loop;
@@ -67,7 +67,7 @@
         this.descriptors = descriptors;
         this.clock = clock;
         this.log = log;
-        files = new MemoryFiles(folder, ProcessHandle.current().pid(), log::line);
+        files = new HandoverSnapshotFiles(folder, ProcessHandle.current().pid(), log::line);
         thread = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread its = new Thread(task, "handover");
             its.setDaemon(true);
@@ -77,17 +77,18 @@
 
     /** Takes over what the process before this one has left, if there is any; before this one serves. */
     void takeOver() {
-        double nowMs = clock.machineMs();
-        Optional<Memory> newest = others().stream().max(Comparator.comparingDouble(Memory::writtenMs));
+        double nowMs = clock.monotonicMs();
+        Optional<HandoverSnapshot> newest =
+                others().stream().max(Comparator.comparingDouble(HandoverSnapshot::writtenMs));
         newest.ifPresent(memory -> {
             log.line("taking over what another process has learned of "
                     + memory.learned().nodes().size() + " nodes, " + Math.round(nowMs - memory.writtenMs())
-                    + " ms ago, believed to " + Math.round(100 * memory.trust(nowMs)) + "%");
-            loop.execute(() -> dispatcher.recall(memory.learned(), memory.trust(nowMs)));
+                    + " ms ago, believed to " + Math.round(100 * memory.confidence(nowMs)) + "%");
+            loop.execute(() -> dispatcher.recall(memory.learned(), memory.confidence(nowMs)));
         });
     }
 
-    Chain start() {
+    SupervisedTask start() {
         round(); // before the first connection is accepted
         return PeriodicTask.start("handover", thread, clock, log, TOGETHER_MS, this::round);
     }
@@ -106,9 +107,9 @@
         }
     }
 
-    private List<Memory> others() {
+    private List<HandoverSnapshot> others() {
         try {
-            return files.others(clock.machineMs());
+            return files.others(clock.monotonicMs());
         } catch (IOException e) {
             fails("what other processes have left can't be read: " + e);
             return List.of();
@@ -116,15 +117,15 @@
     }
 
     private void tellElsewhere() {
-        double nowMs = clock.machineMs();
+        double nowMs = clock.monotonicMs();
         Map<String, Integer> out = new HashMap<>();
         int inHand = 0;
         int held = company ? HELD_BESIDE : 0;
-        for (Memory memory : company ? others() : List.<Memory>of()) {
+        for (HandoverSnapshot memory : company ? others() : List.<HandoverSnapshot>of()) {
             if (memory.isFresh(nowMs)) {
                 inHand += memory.inHand();
                 held += memory.descriptors();
-                memory.learned().nodes().forEach((host, node) -> out.merge(host, node.out(), Integer::sum));
+                memory.learned().nodes().forEach((host, node) -> out.merge(host, node.inFlight(), Integer::sum));
             }
         }
         int requests = inHand;
@@ -132,8 +133,8 @@
         toldElsewhere = company;
         EventLoopTasks.execute(loop, () -> {
             dispatcher.elsewhere(out, requests);
-            server.elsewhere(requests);
-            descriptors.elsewhere(heldElsewhere);
+            server.setOtherProcessRequests(requests);
+            descriptors.setUsedByOtherProcess(heldElsewhere);
         });
     }
 
--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -52,7 +52,7 @@
     private static final class Waiter {
         final Consumer<Answer> client;
         ScheduledFuture<?> timeout;
-        /** The number by which clientLeft identifies the client. */
+        /** The number by which cancel identifies the client. */
         int number;
 
         boolean completed;
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public boolean recorded() {
+        public boolean isRecorded() {
             return recorded;
         }
 
@@ -123,13 +123,13 @@
         }
 
         @Override
-        public void sending() {
+        public void attemptStarted() {
             unresolvedAttempts++;
             promises.sent(identity);
         }
 
         @Override
-        public void ended(boolean proved) {
+        public void attemptEnded(boolean proved) {
             unresolvedAttempts -= proved ? 1 : 0;
         }
 
@@ -271,15 +271,15 @@
     }
 
     @Override
-    public boolean isOpen(String callId) {
-        return dispatcher.isOpen(callId);
+    public boolean isInFlight(String callId) {
+        return dispatcher.isInFlight(callId);
     }
 
     @Override
-    public int request(ClientRequest request, Consumer<Answer> client) {
+    public int handle(ClientRequest request, Consumer<Answer> client) {
         RequestClass requestClass = classes.get(request.requestClass());
         if (requestClass.effect() == Effect.SAFE) {
-            return dispatcher.request(request, client);
+            return dispatcher.handle(request, client);
         }
         String requestIdentity = request.identity();
         // A request without an identity can't be recognised again: the promise is only that this sidecar sends it once.
@@ -293,7 +293,7 @@
                 return join(pending.get(identity), request, client);
             }
             case IN_DOUBT ->
-                client.accept(Answer.told(STATUS_CONFLICT, "it may have run, and is not sent again: in doubt"));
+                client.accept(Answer.failure(STATUS_CONFLICT, "it may have run, and is not sent again: in doubt"));
             case AT_CAPACITY -> client.accept(Answer.refused(retryAfterMs));
             default -> {
                 return start(identity, request, client);
@@ -314,7 +314,8 @@
         Waiter first = new Waiter(client);
         promise.waiters.add(first);
         double deadlineMs = request.arrivedMs() + request.budgetMs();
-        int number = dispatcher.request(request.with(promise), answer -> onAnswer(promise, answer, deadlineMs));
+        int number =
+                dispatcher.handle(request.withSendRecord(promise), answer -> onAnswer(promise, answer, deadlineMs));
         promise.number = number;
         first.number = number;
         if (pending.get(identity) == promise) {
@@ -370,7 +371,7 @@
                 promise,
                 settings.letThrough()
                         ? answer
-                        : Answer.told(
+                        : Answer.failure(
                                 STATUS_BAD_GATEWAY, "it has run, and its answer could not be recorded: in doubt"));
     }
 
@@ -395,7 +396,7 @@
         waiter.timeout = schedule(
                 deadlineMs - ANSWER_MARGIN_MS - clock.nowMs(),
                 () -> waiter.complete(
-                        Answer.told(STATUS_GATEWAY_TIMEOUT, "it is in hand, and its answer is not there yet")));
+                        Answer.failure(STATUS_GATEWAY_TIMEOUT, "it is in hand, and its answer is not there yet")));
     }
 
     private int join(Promise promise, ClientRequest request, Consumer<Answer> client) {
@@ -414,7 +415,7 @@
                 key(identity),
                 (value, failure) -> loop.execute(() -> waiter.complete(
                         value == null
-                                ? Answer.told(
+                                ? Answer.failure(
                                         STATUS_BAD_GATEWAY,
                                         "it has run, and its answer can't be read: "
                                                 + (failure == null ? "it was just forgotten" : failure.getMessage()))
@@ -426,21 +427,21 @@
     }
 
     @Override
-    public void arrived(int number) {
-        dispatcher.arrived(number); // long requests are not recorded and keep the dispatcher's numbers
+    public void bodyCompleted(int number) {
+        dispatcher.bodyCompleted(number); // long requests are not recorded and keep the dispatcher's numbers
     }
 
     @Override
-    public void clientLeft(int number) {
+    public void cancel(int number) {
         Promise promise = byRequestNumber.remove(number);
         if (promise == null) {
-            dispatcher.clientLeft(number);
+            dispatcher.cancel(number);
             return;
         }
         promise.waiters.stream().filter(waiter -> waiter.number == number).forEach(Waiter::cancel);
         if (promise.waiters.stream().allMatch(waiter -> waiter.completed)
                 && !promise.settled) { // otherwise another client still waits
-            dispatcher.clientLeft(promise.number);
+            dispatcher.cancel(promise.number);
             promise.settled = true;
             finish(promise, promise.unresolvedAttempts == 0);
         }
--- a/src/main/java/ivybank/upstream/ConnectionOpener.java
+++ b/src/main/java/ivybank/upstream/ConnectionOpener.java
@@ -6,7 +6,7 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpRequestEncoder;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.discovery.Node;
 import ivybank.supervision.OutboundConnection;
 import ivybank.tally.Tally;
@@ -30,7 +30,7 @@
     private final UpstreamPool pool;
     private final EventLoop loop;
     private final Limits limits;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final LoadReport reports;
     private final Bootstrap bootstrap;
     /** How many spare connections each node has. */
@@ -47,7 +47,7 @@
             UpstreamPool pool,
             EventLoop loop,
             Limits limits,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             LoadReport reports,
             Bootstrap base) {
         this.pool = pool;
@@ -59,7 +59,7 @@
     }
 
     /** From now on tells this of what happens to connections. Before the first is begun. */
-    void countIn(Tally counts) {
+    void setTally(Tally counts) {
         tally = counts;
     }
 
@@ -78,13 +78,13 @@
     }
 
     boolean isFull() {
-        return open() >= limits.connections() || descriptors.full();
+        return open() >= limits.connections() || descriptors.isExhausted();
     }
 
     /** A spare connection must never be the reason why another one can't be opened, here or on the client's side. */
     boolean hasRoomForSpares() {
         int kept = (int) (ROOM_KEPT_PART * limits.connections());
-        return open() < limits.connections() - kept && descriptors.room() > kept;
+        return open() < limits.connections() - kept && descriptors.available() > kept;
     }
 
     /** Opens a connection, and hands it on once it is up; null if it doesn't come up. */
@@ -126,7 +126,7 @@
         @Override
         public void failed(Throwable cause, boolean local) {
             ended(upstream);
-            tally.notUp(upstream.node.host);
+            tally.connectionFailed(upstream.node.host);
             pool.notUp(upstream.node, cause, local);
             receiver.accept(null);
         }
@@ -139,7 +139,7 @@
         /** Whether its end has come, or should have, and nobody was told. */
         boolean isLost(double nowMs) {
             boolean overdue = !up && nowMs - begunMs > limits.connectTimeoutMs() + OVERDUE_MS;
-            return overdue || connection != null && connection.hasEndedUntold();
+            return overdue || connection != null && connection.hasClosedUnreported();
         }
     }
 
@@ -161,14 +161,14 @@
     }
 
     private void begun(UpstreamConnection connection, Opening opening) {
-        descriptors.take();
+        descriptors.acquire();
         open.put(connection, opening);
         opened++;
         if (connection.spare) {
             spares.merge(connection.node, 1, Integer::sum);
         }
-        tally.begun(connection.node.host);
-        tally.held(connection.node.host, 1);
+        tally.connectionStarted(connection.node.host);
+        tally.connectionsHeld(connection.node.host, 1);
     }
 
     /** Gives back what it has taken, once. */
@@ -180,7 +180,7 @@
         if (connection.spare) {
             spares.computeIfPresent(connection.node, (node, count) -> count == 1 ? null : count - 1);
         }
-        tally.held(connection.node.host, -1);
+        tally.connectionsHeld(connection.node.host, -1);
         pool.ended(connection);
     }
 }
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -12,7 +12,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.HttpMethod;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
 import ivybank.discovery.HostUpdate;
@@ -24,8 +24,8 @@
 import ivybank.policy.Balancer.Outcome;
 import ivybank.policy.Balancer.Request;
 import ivybank.policy.Balancer.Status;
-import ivybank.policy.IdleBalancer;
-import ivybank.settings.SettingsText;
+import ivybank.policy.NoOpBalancer;
+import ivybank.settings.SettingsParser;
 import ivybank.testing.FakeServer;
 import ivybank.upstream.LoadReport;
 import ivybank.upstream.UpstreamPool;
@@ -65,19 +65,19 @@
             UpstreamPool pool = new UpstreamPool(
                     loop,
                     clock,
-                    UpstreamPool.Limits.usual(10, 250, 10_000, 0),
-                    new Descriptors(20),
+                    UpstreamPool.Limits.standard(10, 250, 10_000, 0),
+                    new DescriptorBudget(20),
                     new LoadReport(List.of()),
                     new Bootstrap().channel(NioSocketChannel.class),
                     log);
             Directory directory = new Directory(List.of("a"), List.of("k"), pool::closeIdle);
             dispatcher = new RequestDispatcher(
-                    SettingsText.parse(
+                    SettingsParser.parse(
                             "lanes.count=1\nlanes.0.name=submit\nlanes.0.hardLimitMs=6000\nlimits.maxAttempts=6\n"),
                     1,
                     (settings, seed, does) -> {
                         actions = does;
-                        return new IdleBalancer() {
+                        return new NoOpBalancer() {
                             @Override
                             public void request(double nowMs, Request request) {
                                 asked.add(request);
@@ -121,7 +121,7 @@
         private boolean recorded;
 
         @Override
-        public boolean recorded() {
+        public boolean isRecorded() {
             return recorded;
         }
 
@@ -134,12 +134,12 @@
         }
 
         @Override
-        public void sending() {
+        public void attemptStarted() {
             // It is out.
         }
 
         @Override
-        public void ended(boolean proved) {
+        public void attemptEnded(boolean proved) {
             // It is known.
         }
 
@@ -153,13 +153,13 @@
     void whatWaitsForItsRecordIsNotSentOnceItsClientHasLeft() throws Exception {
         HeldRecord record = new HeldRecord();
         int id = onLoop(() -> {
-            int number = dispatcher.request(request(6000).with(record), answer -> {});
+            int number = dispatcher.handle(request(6000).withSendRecord(record), answer -> {});
             actions.send(number, 0, 0);
             return number;
         });
         Runnable written = record.asks.get(5, TimeUnit.SECONDS);
         onLoop(() -> {
-            dispatcher.clientLeft(id);
+            dispatcher.cancel(id);
             return null;
         });
         assertEquals(Outcome.NOT_SENT, ends.poll(5, TimeUnit.SECONDS).outcome());
@@ -175,7 +175,7 @@
     @Test
     void anAttemptAtANodeThatIsForgottenEndsAtOnceAsNotSent() throws Exception {
         onLoop(() -> {
-            actions.send(dispatcher.request(request(6000), answer -> {}), NOBODY, 0);
+            actions.send(dispatcher.handle(request(6000), answer -> {}), NOBODY, 0);
             return null;
         });
         AttemptEnd end = ends.poll(5, TimeUnit.SECONDS);
@@ -192,7 +192,7 @@
         onLoop(() -> {
             ClientRequest request = request(60);
             fromMs[0] = request.arrivedMs();
-            dispatcher.request(request, answer -> answered.complete(clock.nowMs()));
+            dispatcher.handle(request, answer -> answered.complete(clock.nowMs()));
             return null;
         });
         Request told = asked.poll(5, TimeUnit.SECONDS);
--- a/src/test/java/ivybank/promises/PromiseRequestHandlerTest.java
+++ b/src/test/java/ivybank/promises/PromiseRequestHandlerTest.java
@@ -9,7 +9,7 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import ivybank.store.Disk;
 import ivybank.store.FileSystemDisk;
 import ivybank.store.Limits;
@@ -149,22 +149,22 @@
         }
 
         @Override
-        public boolean isOpen(String callId) {
+        public boolean isInFlight(String callId) {
             return false;
         }
 
         @Override
-        public int request(ClientRequest request, Consumer<Answer> client) {
+        public int handle(ClientRequest request, Consumer<Answer> client) {
             requests.add(request);
             clients.add(client);
             return requests.size();
         }
 
         @Override
-        public void arrived(int number) {}
+        public void bodyCompleted(int number) {}
 
         @Override
-        public void clientLeft(int number) {
+        public void cancel(int number) {
             // The test decides the outcome of the request.
         }
     }
@@ -190,7 +190,7 @@
         Clock clock = Clock.system();
         handler = new PromiseRequestHandler(
                 new PromiseSettings("X-Event", 60_000, 20_000, letThrough),
-                SettingsText.parse("""
+                SettingsParser.parse("""
                 lanes.count=1
                 lanes.0.name=submit
                 lanes.0.aimMs=1000
@@ -216,7 +216,7 @@
     }
 
     private void submit(String event, double budgetMs) throws Exception {
-        onLoop(() -> handler.request(
+        onLoop(() -> handler.handle(
                 new ClientRequest(
                         HttpMethod.POST,
                         "/submit",
@@ -256,10 +256,10 @@
             dispatcher
                     .requests
                     .get(request)
-                    .record()
+                    .sendRecord()
                     .record(
                             () -> {
-                                dispatcher.requests.get(request).record().sending();
+                                dispatcher.requests.get(request).sendRecord().attemptStarted();
                                 sendable.countDown();
                             },
                             () -> dispatcher.clients.get(request).accept(Answer.refused(100)));
