--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -228,29 +228,29 @@
     }
 
     /**
-     * Closes unused connections while many are open, longest unused first, up to {@code most} at once. Clients have a
+     * Closes unused connections while many are open, longest unused first, up to {@code max} at once. Clients have a
      * limited number of connections for requests; while connections were kept whose clients send one request or none, most
      * requests found no connection.
      */
-    private void evict(int most) {
+    private void evict(int max) {
         double nowMs = clock.nowMs();
         int surplus = ending
                 ? 0
-                : descriptors.isExhausted() ? most : Math.min(most, connections.size() - limits.evictionThreshold());
+                : descriptors.isExhausted() ? max : Math.min(max, connections.size() - limits.evictionThreshold());
         evict(surplus, connection -> connection.isSurplus(nowMs));
         if (!ending && !reusesConnections()) {
             evict(
-                    Math.min(most, connections.size() - limits.evictionThreshold() / 2),
+                    Math.min(max, connections.size() - limits.evictionThreshold() / 2),
                     connection -> connection.isSingleUseSurplus(nowMs));
         }
     }
 
-    private void evict(int most, Predicate<ClientConnection> filter) {
-        if (most > 0) {
+    private void evict(int max, Predicate<ClientConnection> filter) {
+        if (max > 0) {
             connections.stream()
                     .filter(filter)
                     .sorted(Comparator.comparingDouble(ClientConnection::freeSinceMs))
-                    .limit(most)
+                    .limit(max)
                     .toList()
                     .forEach(this::evict);
         }
--- a/src/main/java/ivybank/common/DescriptorBudget.java
+++ b/src/main/java/ivybank/common/DescriptorBudget.java
@@ -11,8 +11,8 @@
     private int used;
     private int usedByOtherProcess;
 
-    public DescriptorBudget(int most) {
-        this.limit = most;
+    public DescriptorBudget(int limit) {
+        this.limit = limit;
     }
 
     public boolean isExhausted() {
