--- a/src/main/java/ivybank/discovery/Directory.java
+++ b/src/main/java/ivybank/discovery/Directory.java
@@ -13,60 +13,65 @@
 import java.util.function.Consumer;
 
 /**
- * The upstreams that discovery names. A host keeps its number until it is gone; it is forgotten then, for new ones come
- * for ever, and no number is given twice, so that what still refers to it meets no other.
+ * The nodes that discovery lists. A host keeps its number until it leaves the list. It is forgotten then, because new
+ * hosts keep appearing without end. A number is never assigned twice, so a stale reference never resolves to another node.
  */
 public final class Directory {
 
-    private static final int MOST_ENDED = 256;
+    private static final int MAX_ENDED_PROCESSES = 256;
 
     private final Map<String, Node> byHost = new HashMap<>();
     private final Map<Integer, Node> byId = new HashMap<>();
     private final Map<String, Integer> zones;
     private final Map<String, Integer> kinds;
-    private final Consumer<Node> retired;
-    /** When those last started that were told gone last: a process that has ended never comes back. */
-    private final Map<String, Double> ended = new LinkedHashMap<>() {
+    private final Consumer<Node> onRetired;
+    /**
+     * Start times of the processes that discovery most recently reported gone: an ended process never comes back.
+     */
+    private final Map<String, Double> endedProcessStarts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-            return size() > MOST_ENDED;
+            return size() > MAX_ENDED_PROCESSES;
         }
     };
-    /** The nodes that operators have taken out, with when they did. */
-    private final Map<String, Double> out = new HashMap<>();
+    /** The nodes that operators have taken out of service, with the time at which they did. */
+    private final Map<String, Double> outOfService = new HashMap<>();
 
     private final StartTimes startTimes = new StartTimes();
     private int nextId;
 
-    /** Tells {@code retired} of each node whose connections are of no more use. */
-    public Directory(List<String> zones, List<String> kinds, Consumer<Node> retired) {
+    /**
+     * Creates an empty directory; {@code onRetired} is called with each node whose connections must no longer be used.
+     */
+    public Directory(List<String> zones, List<String> kinds, Consumer<Node> onRetired) {
         this.zones = numbered(zones);
         this.kinds = numbered(kinds);
-        this.retired = retired;
+        this.onRetired = onRetired;
     }
 
     /**
-     * Takes over an update and returns its entries in the module's form. A drain, and an end, are for good: another
-     * address of discovery that still has the same process ready is behind, and what it says of that is left out.
+     * Applies an update and returns its entries in the form of the decision module. A drain and the end of a process are
+     * final: where another discovery address still lists the same process as ready, that address is behind, and its entry is
+     * ignored.
      */
     public List<Upstream> apply(HostUpdate update, double nowMs) {
         startTimes.observe(update.entries(), !update.whole(), nowMs);
-        Set<Node> named = new HashSet<>();
+        Set<Node> listedNodes = new HashSet<>();
         List<Upstream> entries = new ArrayList<>();
-        Collection<HostUpdate.Entry> told = onceEach(update.entries());
-        for (HostUpdate.Entry entry : told) {
+        Collection<HostUpdate.Entry> latest = latestPerHost(update.entries());
+        for (HostUpdate.Entry entry : latest) {
             if (update.fromElsewhere()
-                    && ended.containsKey(entry.host())
-                    && ended.get(entry.host()) == entry.bornMs()) {
+                    && endedProcessStarts.containsKey(entry.host())
+                    && endedProcessStarts.get(entry.host()) == entry.bornMs()) {
                 continue;
             }
             Node node = byHost.computeIfAbsent(entry.host(), this::add);
-            boolean first = named.add(node) && node.listed == null;
-            // Another machine, or another process on it: what leads to the one before is of no more use, and what is
-            // written
-            // there ends as a reset of a request that may have run.
+            boolean first = listedNodes.add(node) && node.listed == null;
+            // Another machine or process: connections to the previous one are unusable, and a request written there
+            // ends
+            // with a reset after which it may have run.
             boolean moved = !entry.address().equals(node.address) || entry.bornMs() != node.bornMs;
             boolean undrained = update.fromElsewhere()
                     && node.status == Status.DRAINING
@@ -80,23 +85,23 @@
             node.bornMs = entry.bornMs();
             node.status = status;
             node.listed = entry;
-            entries.add(told(node));
+            entries.add(toUpstream(node));
             if (moved || !node.ready) {
-                retired.accept(node);
+                onRetired.accept(node);
             }
         }
-        for (HostUpdate.Entry entry : told) {
+        for (HostUpdate.Entry entry : latest) {
             if (entry.status() == Status.GONE) {
-                ended.put(entry.host(), entry.bornMs());
-                leave(byHost.get(entry.host()));
+                endedProcessStarts.put(entry.host(), entry.bornMs());
+                remove(byHost.get(entry.host()));
             }
         }
         if (update.whole()) {
             for (Node node : List.copyOf(byId.values())) {
-                if (!named.contains(node)) {
-                    leave(node);
-                    if (node.outSinceMs > 0) {
-                        entries.add(told(node));
+                if (!listedNodes.contains(node)) {
+                    remove(node);
+                    if (node.outOfServiceSinceMs > 0) {
+                        entries.add(toUpstream(node));
                     }
                 }
             }
@@ -105,17 +110,17 @@
     }
 
     /**
-     * One entry for each host. Guards against a list that names a host twice: the process that started last counts, and of
-     * one process the word that allows least. Else one that is gone and one that is ready took turns, and the module was left
-     * with a node that nobody knew.
+     * Returns one entry for each host. Guards against a list that names a host twice: the latest start prevails, and for one
+     * process the more restrictive status. Otherwise a gone and a ready entry replaced each other in turn, and the decision
+     * module kept a node that the directory no longer knew.
      */
-    private static Collection<HostUpdate.Entry> onceEach(List<HostUpdate.Entry> entries) {
+    private static Collection<HostUpdate.Entry> latestPerHost(List<HostUpdate.Entry> entries) {
         Map<String, HostUpdate.Entry> byHost = new LinkedHashMap<>();
-        entries.forEach(entry -> byHost.merge(entry.host(), entry, Directory::counts));
+        entries.forEach(entry -> byHost.merge(entry.host(), entry, Directory::prevailing));
         return byHost.values();
     }
 
-    private static HostUpdate.Entry counts(HostUpdate.Entry earlier, HostUpdate.Entry later) {
+    private static HostUpdate.Entry prevailing(HostUpdate.Entry earlier, HostUpdate.Entry later) {
         if (earlier.bornMs() != later.bornMs()) {
             return earlier.bornMs() > later.bornMs() ? earlier : later;
         }
@@ -124,11 +129,13 @@
         return laterAllowsMore ? earlier : later;
     }
 
-    /** What the module is to be told of a node: one that is out is draining, whatever the list says. */
-    private Upstream told(Node node) {
+    /**
+     * Returns the entry of a node for the decision module. A node that is out of service is draining, whatever the list says.
+     */
+    private Upstream toUpstream(Node node) {
         HostUpdate.Entry entry = node.listed;
-        Status status = out.containsKey(node.host) ? Status.DRAINING : node.status;
-        node.outSinceMs = out.getOrDefault(node.host, 0.0);
+        Status status = outOfService.containsKey(node.host) ? Status.DRAINING : node.status;
+        node.outOfServiceSinceMs = outOfService.getOrDefault(node.host, 0.0);
         node.ready = status == Status.READY;
         return new Upstream(
                 node.id,
@@ -141,34 +148,34 @@
     }
 
     /**
-     * When it started. Guards a node that was restarted while it was out against being taken for warm: the list is
-     * seconds late, so that until it has told of the new start that counts as being at the call back.
+     * Returns when a node started. A node that was restarted while it was out of service must not pass for warm: the list lags
+     * by seconds, so until it reports the new start, the node counts as started when it was returned to service.
      */
     private double startOf(Node node) {
         return node.startedMs();
     }
 
     /**
-     * Takes over which nodes operators have taken out, by their ids, with when they did; returns the entries that this
-     * changes in the module's form. It holds over all that discovery says until it is taken back.
+     * Replaces the set of nodes that operators have taken out of service, by host and with the time at which they did. Returns
+     * the entries that change, in the form of the decision module. This overrides what discovery says until it is taken back.
      */
     public List<Upstream> takeOut(Map<String, Double> nodes, double nowMs) {
-        Map<String, Double> before = Map.copyOf(out);
-        out.clear();
-        out.putAll(nodes);
+        Map<String, Double> before = Map.copyOf(outOfService);
+        outOfService.clear();
+        outOfService.putAll(nodes);
         List<Upstream> entries = new ArrayList<>();
         for (Node node : List.copyOf(byId.values())) {
             Double since = before.get(node.host);
-            boolean isOut = out.containsKey(node.host);
-            if (isOut == (since != null)) {
+            boolean isOutOfService = outOfService.containsKey(node.host);
+            if (isOutOfService == (since != null)) {
                 continue;
             }
-            if (!isOut && node.processStartedMs <= since) {
-                node.calledBackMs = nowMs;
+            if (!isOutOfService && node.processStartedMs <= since) {
+                node.returnedToServiceMs = nowMs;
             }
-            entries.add(told(node));
-            if (isOut) {
-                retired.accept(node);
+            entries.add(toUpstream(node));
+            if (isOutOfService) {
+                onRetired.accept(node);
             } else if (node.status == Status.GONE) {
                 forget(node);
             }
@@ -176,52 +183,57 @@
         return entries;
     }
 
-    /** The number of the node of this id, or null. */
+    /** Returns the number of the node on this host, or null. */
     public Integer number(String host) {
         Node node = byHost.get(host);
         return node == null ? null : node.id;
     }
 
-    /** The id of the node of this number, or null. */
+    /** Returns the host of the node with this number, or null. */
     public String host(int id) {
         Node node = byId.get(id);
         return node == null ? null : node.host;
     }
 
     /**
-     * Takes over from another process when a node last started as far as that one knew: from discovery, or from being called
-     * back before discovery had told of it. Returns the entries that this changes in the module's form.
+     * Restores the last start of a node as another process knew it: from discovery, or from the node's return to service before
+     * discovery had reported the start. Returns the entries that change, in the form of the decision module.
      */
     public List<Upstream> restoreStart(String host, double startedMs, double nowMs) {
         Node node = byHost.get(host);
-        double hereMs = node == null ? 0 : Math.min(nowMs, startedMs + node.clockCorrectionMs());
-        if (node == null || hereMs <= startOf(node)) {
+        double localStartMs = node == null ? 0 : Math.min(nowMs, startedMs + node.clockCorrectionMs());
+        if (node == null || localStartMs <= startOf(node)) {
             return List.of();
         }
-        node.calledBackMs = hereMs;
-        return List.of(told(node));
+        node.returnedToServiceMs = localStartMs;
+        return List.of(toUpstream(node));
     }
 
-    /** When a node started as another process of this machine may know it, whatever the clock of this one is. */
+    /**
+     * Returns the start of a node by discovery's clock, which is valid in another process of this machine, whatever clock this
+     * process has.
+     */
     public double startByDiscoveryClockMs(String host) {
         Node node = byHost.get(host);
         return node == null ? 0 : node.startedMs() - node.clockCorrectionMs();
     }
 
-    /** The same by this process's clock. */
+    /** Converts a node's start by discovery's clock to this process's clock. */
     public double startByLocalClockMs(String host, double statedMs) {
         Node node = byHost.get(host);
         return node == null || statedMs <= 0 ? statedMs : statedMs + node.clockCorrectionMs();
     }
 
-    /** Whether a node of this id is listed, or was when it was taken out. */
+    /** Returns whether the host is listed, or was listed when it was taken out of service. */
     public boolean contains(String host) {
         return byHost.containsKey(host);
     }
 
-    /** One that is out keeps its number while it is gone: operators restart it. */
-    private void leave(Node node) {
-        if (node != null && node.outSinceMs > 0) {
+    /**
+     * Removes a node from the list. A node that is out of service keeps its number meanwhile, because operators restart it.
+     */
+    private void remove(Node node) {
+        if (node != null && node.outOfServiceSinceMs > 0) {
             node.status = Status.GONE;
         } else {
             forget(node);
@@ -231,13 +243,13 @@
     private void forget(Node node) {
         if (node != null) {
             node.ready = false;
-            retired.accept(node);
+            onRetired.accept(node);
             byHost.remove(node.host);
             byId.remove(node.id);
         }
     }
 
-    /** The node of this number, or null. */
+    /** Returns the node with this number, or null. */
     public Node node(int id) {
         return byId.get(id);
     }
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -22,19 +22,19 @@
 import java.util.function.Supplier;
 
 /**
- * Follows discovery: the whole list first, then a watch from its version on; or at once a watch from the version of a list that
- * is known from before the start, which is one call and few lines instead of two calls and all lines. What breaks is begun again after a pause
- * that grows; what is silent for longer than the watch's empty lines are apart counts as broken, whatever bytes trickle in. Discovery may move: then all is
- * begun anew at its new address, for the versions of one say nothing to another; the old one is heard until the new one
- * has answered. Whenever a call has ended, {@code where} is asked for the address that holds now: a move that nobody has
- * told of is found then.
+ * Follows discovery: fetches the whole list and then watches it from its version on. Where a list is known from before the
+ * start, the watch resumes from its version at once, which costs one call and a few lines instead of two calls and all lines. A
+ * broken call is repeated after a growing pause. A watch that is silent for longer than the interval of its empty lines counts
+ * as broken, whatever bytes trickle in. Discovery may move: everything starts anew at its new address, because the versions of
+ * one address say nothing about another, and the old one is followed until the new one has answered. After each call,
+ * {@code addressSupplier} is asked for the current address, which finds a move that nobody has announced.
  *
- * <p>It owns the chain of calls: there is always one under way or a pause before the next, each with a time by which it must
- * have ended, and a {@link ivybank.supervision.Watchdog} that begins the next one where it has not.
+ * <p>This class owns the chain of calls. There is always a call under way or a pause before the next one, each with a time by
+ * which it must have ended, and a {@link ivybank.supervision.Watchdog} starts the next one where it has not.
  */
 public final class Discovery implements Chain, DiscoveryCall.Owner {
 
-    /** What the chain of calls is doing. */
+    /** The state of the chain of calls. */
     private enum State {
         NOT_STARTED,
         CONNECTING,
@@ -44,12 +44,12 @@
         STOPPED
     }
 
-    /** What a timer of its own may be late before it counts as lost. */
-    private static final double LATE_MS = 100;
-    /** The ends of so many calls in a row that brought nothing are logged one by one. */
-    private static final int MOST_LOGGED_ENDS = 20;
-    /** Of those behind them one in so many. */
-    private static final int LOGGED_ENDS = 100;
+    /** The delay beyond which one of its own timers counts as lost. */
+    private static final double MAX_TIMER_DELAY_MS = 100;
+    /** The number of consecutive failed calls that are logged one by one. */
+    private static final int MAX_CONSECUTIVE_LOGGED_FAILURES = 20;
+    /** Of the failed calls after these, one in this number is logged. */
+    private static final int LOGGED_FAILURE_INTERVAL = 100;
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
@@ -58,49 +58,53 @@
     private final DoubleSupplier random;
     private final Clock clock;
     private final Log log;
-    /** The version that all is known up to, or -1 where the whole list is needed. */
-    private long seq;
-    /** The newest version that this address has told, or -1. */
-    private long newest = -1;
-    /** Whether {@code seq} is from before the start, and nothing has been heard since that confirms it. */
-    private boolean remembered;
+    /** The version up to which all changes are known, or -1 where the whole list is needed. */
+    private long knownVersion;
+    /** The newest version that this address has reported, or -1. */
+    private long newestVersion = -1;
+    /** Whether {@code knownVersion} is from before the start and no answer has confirmed it since. */
+    private boolean unconfirmed;
 
-    private double pauseMs = Timing.FIRST_PAUSE_MS;
-    /** Watches in a row that have fallen silent without a word. */
-    private int silent;
+    private double pauseMs = Timing.INITIAL_PAUSE_MS;
+    /** The number of consecutive watches that have fallen silent without any data. */
+    private int silentWatches;
 
     private boolean reachable = true;
-    /** Calls in a row that have ended without an answer. */
-    private int endsInVain;
+    /** The number of consecutive calls that have ended without an answer. */
+    private int failedCallsInRow;
 
     private State state = State.NOT_STARTED;
-    /** By when the state must have ended, by the module's clock. */
+    /** The time by which the state must have ended, by the clock of the decision module. */
     private double dueMs = NEVER;
 
     private SocketAddress address;
-    private final Supplier<SocketAddress> where;
-    /** Since when it has been asked at this address without a word from there, or NaN. */
-    private double movedMs = Double.NaN;
-    /** The call at hand; what others still bring is late and is ignored, but for one to the address before a move. */
+    private final Supplier<SocketAddress> addressSupplier;
+    /** The time of a move to this address, until it first answers; or NaN. */
+    private double movedAtMs = Double.NaN;
+    /**
+     * The current call. Events of others are late and are ignored, except for those of the call to the address before a move.
+     */
     private DiscoveryCall current;
 
     private DiscoveryCall previous;
     private ScheduledFuture<?> nextStart;
-    private Runnable firstWord = () -> {};
+    private Runnable onFirstCallCompleted = () -> {};
     private Tally tally = Tally.NONE;
     private ListLease lease = ListLease.unlimited();
-    /** Whether the log has it that the list has lapsed. */
-    private boolean listLapsed;
+    /** Whether the log states that the list has lapsed. */
+    private boolean lapseLogged;
 
     /**
-     * @param where may return null: then the address stays
-     * @param from the version to go on from, of a list that is known, or -1 to begin with the whole list
+     * Creates a follower of discovery.
+     *
+     * @param addressSupplier returns the current address, or null where it is unchanged
+     * @param from the version of a known list from which to resume, or -1 to start with the whole list
      */
     public Discovery(
             EventLoop loop,
             Bootstrap base,
             SocketAddress address,
-            Supplier<SocketAddress> where,
+            Supplier<SocketAddress> addressSupplier,
             long from,
             Timing timing,
             Consumer<HostUpdate> listener,
@@ -110,7 +114,7 @@
                 loop,
                 base,
                 address,
-                where,
+                addressSupplier,
                 from,
                 timing,
                 () -> ThreadLocalRandom.current().nextDouble(),
@@ -119,22 +123,22 @@
                 log);
     }
 
-    /** {@code random}: from 0 to 1, what a pause is drawn by. */
+    /** Creates a follower; {@code random} returns a number from 0 to 1, by which a pause is drawn. */
     Discovery(
             EventLoop loop,
             Bootstrap base,
             SocketAddress address,
-            Supplier<SocketAddress> where,
+            Supplier<SocketAddress> addressSupplier,
             long from,
             Timing timing,
             DoubleSupplier random,
             Consumer<HostUpdate> listener,
             Clock clock,
             Log log) {
-        this.seq = from;
-        this.remembered = from >= 0;
+        this.knownVersion = from;
+        this.unconfirmed = from >= 0;
         this.loop = loop;
-        this.where = where;
+        this.addressSupplier = addressSupplier;
         this.timing = timing;
         this.random = random;
         this.listener = listener;
@@ -144,29 +148,29 @@
         this.bootstrap = base.group(loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timing.connectMs());
     }
 
-    /** From now on tells this of calls and versions. Before the start. */
+    /** Sets the tally that counts calls and versions. Must be called before the start. */
     public void setTally(Tally counts) {
         tally = counts;
     }
 
-    /** From now on tells this when the list is confirmed, and when it can't be. Before the start. */
+    /** Sets the lease that tracks whether the list is confirmed. Must be called before the start. */
     public void setLease(ListLease listLease) {
         lease = listLease;
     }
 
     /**
-     * Tells this once, when the first call has brought a list or has ended without one, at the latest when one that is answered
-     * must have done so. Before the start.
+     * Sets a callback that runs once: when the first call has brought a list or has ended without one, at the latest when an
+     * answered call must have done so. Must be called before the start.
      */
-    public void onFirstCallCompleted(Runnable listens) {
-        firstWord = listens;
-        loop.schedule(this::firstWord, (long) timing.returnMs(), TimeUnit.MILLISECONDS);
+    public void onFirstCallCompleted(Runnable listener) {
+        onFirstCallCompleted = listener;
+        loop.schedule(this::notifyFirstCallCompleted, (long) timing.maxCallAfterOutageMs(), TimeUnit.MILLISECONDS);
     }
 
-    private void firstWord() {
-        Runnable told = firstWord;
-        firstWord = () -> {};
-        told.run();
+    private void notifyFirstCallCompleted() {
+        Runnable pending = onFirstCallCompleted;
+        onFirstCallCompleted = () -> {};
+        pending.run();
     }
 
     public void start() {
@@ -174,8 +178,13 @@
             return;
         }
         tally.discoveryCalled();
-        DiscoveryCall call =
-                new DiscoveryCall(this, timing, clock, silent, timing.asksForAll(silent) ? -1 : seq, newest);
+        DiscoveryCall call = new DiscoveryCall(
+                this,
+                timing,
+                clock,
+                silentWatches,
+                timing.needsWholeList(silentWatches) ? -1 : knownVersion,
+                newestVersion);
         current = call;
         enter(State.CONNECTING, timing.connectMs());
         Bootstrap calling = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
@@ -191,10 +200,10 @@
         enter(State.STOPPED, NEVER);
     }
 
-    private void enter(State next, double mostMs) {
+    private void enter(State next, double timeoutMs) {
         if (state != State.STOPPED) {
             state = next;
-            dueMs = clock.nowMs() + mostMs + LATE_MS;
+            dueMs = clock.nowMs() + timeoutMs + MAX_TIMER_DELAY_MS;
         }
     }
 
@@ -213,7 +222,9 @@
         return state == State.STOPPED || state == State.NOT_STARTED ? NEVER : dueMs;
     }
 
-    /** Looks at the call at hand without being told to, where nothing was told of it yet. To be called often. */
+    /**
+     * Checks the current call without an event of the selector, where no event of it has arrived yet. To be called often.
+     */
     public void verify() {
         if (current != null) {
             current.verify();
@@ -222,22 +233,22 @@
     }
 
     private void logLapse(boolean lapsed) {
-        if (lapsed != listLapsed) {
-            listLapsed = lapsed;
+        if (lapsed != lapseLogged) {
+            lapseLogged = lapsed;
             log.line(
                     lapsed
-                            ? "discovery: this machine may have missed a change; nothing is sent by the list before discovery answers"
-                            : "discovery: the list holds again");
+                            ? "discovery: this machine may have missed a change; no requests are sent by the list until discovery answers"
+                            : "discovery: the list is valid again");
         }
     }
 
-    /** A step of the chain was lost: the call at hand is given up, and the next one begun. */
+    /** Recovers from a lost step of the chain: abandons the current call and starts the next one. */
     @Override
     public void restart() {
         DiscoveryCall lost = current;
         cancelNextStart();
         if (lost != null && state != State.PAUSING) {
-            lease.ended(clock.nowMs(), false);
+            lease.callEnded(clock.nowMs(), false);
         }
         try {
             start();
@@ -248,22 +259,22 @@
         }
     }
 
-    /** Goes on at another address, with the list as it is known until the whole one has come from there. */
+    /** Moves to another address, with the list as it is known until the whole list has arrived from there. */
     public void moveTo(SocketAddress next) {
         if (next.equals(address)) {
             return;
         }
-        log.line("discovery moves from " + address + " to " + next + ", at version " + seq
+        log.line("discovery moves from " + address + " to " + next + ", at version " + knownVersion
                 + (reachable ? "" : ", while it does not answer"));
         address = next;
-        movedMs = clock.nowMs();
-        seq = -1;
-        newest = -1;
-        silent = 0;
-        remembered = false;
-        pauseMs = Timing.FIRST_PAUSE_MS;
+        movedAtMs = clock.nowMs();
+        knownVersion = -1;
+        newestVersion = -1;
+        silentWatches = 0;
+        unconfirmed = false;
+        pauseMs = Timing.INITIAL_PAUSE_MS;
         cancelNextStart();
-        if (current != null) { // else nothing has been started yet
+        if (current != null) { // otherwise no call has been started yet
             if (previous != null) {
                 previous.close();
             }
@@ -278,10 +289,10 @@
         }
     }
 
-    /** Hears of the end of one call, however it came about. */
+    /** Handles the end of one call, however it came about. */
     private final class CallEnd implements OutboundConnection.Listener {
         private final DiscoveryCall call;
-        private final double begunMs = clock.nowMs();
+        private final double startedMs = clock.nowMs();
 
         CallEnd(DiscoveryCall call) {
             this.call = call;
@@ -289,15 +300,15 @@
 
         @Override
         public void up(Channel channel) {
-            // The call itself begins when its channel is active.
+            // The call starts when its channel becomes active.
         }
 
         @Override
         public void failed(Throwable cause, boolean local) {
             if (call == current && !local) {
-                lease.asked(begunMs); // it can't be reached
+                lease.requestSent(startedMs); // discovery is unreachable
             }
-            ended(local, "not connected" + (local ? " for want of something here: " : ": ") + cause.getMessage());
+            ended(local, "not connected" + (local ? " for lack of a local resource: " : ": ") + cause.getMessage());
         }
 
         @Override
@@ -305,156 +316,160 @@
             ended(false, call.failure());
         }
 
-        private void ended(boolean here, String why) {
+        private void ended(boolean local, String reason) {
             if (call == current) {
-                lease.ended(clock.nowMs(), here);
+                lease.callEnded(clock.nowMs(), local);
                 tally.discoveryCallFailed("ended");
-                logEnd(why);
-                lost(why);
+                logEnd(reason);
+                markUnreachable(reason);
             }
-            again(call);
+            scheduleNext(call);
         }
     }
 
-    /** Says of each call what it ended of: lists that are not told are explained by what became of every call since. */
-    private void logEnd(String why) {
-        endsInVain++;
-        if (endsInVain <= MOST_LOGGED_ENDS || endsInVain % LOGGED_ENDS == 0) {
-            log.line("discovery: call " + endsInVain + " since the last answer ended in state " + state() + ": " + why);
+    /** Logs why each call ended: where lists stop arriving, the outcome of every call since then explains it. */
+    private void logEnd(String reason) {
+        failedCallsInRow++;
+        if (failedCallsInRow <= MAX_CONSECUTIVE_LOGGED_FAILURES || failedCallsInRow % LOGGED_FAILURE_INTERVAL == 0) {
+            log.line("discovery: call " + failedCallsInRow + " since the last answer ended in state " + state() + ": "
+                    + reason);
         }
     }
 
-    private void again(DiscoveryCall ended) {
+    private void scheduleNext(DiscoveryCall ended) {
         if (ended != current) {
-            firstWord();
+            notifyFirstCallCompleted();
             return;
         }
-        // At random times: many sidecars come back to one service.
+        // Randomized, because many sidecars return to one service at the same time.
         double delayMs = Math.min(timing.longestPauseMs(), pauseMs) * (0.5 + random.getAsDouble() / 2);
         pauseMs = Math.min(timing.longestPauseMs(), 2 * pauseMs);
         enter(State.PAUSING, delayMs);
         if (state != State.STOPPED) {
-            nextStart = loop.schedule(this::startWhereItIs, (long) delayMs, TimeUnit.MILLISECONDS);
+            nextStart = loop.schedule(this::startAtCurrentAddress, (long) delayMs, TimeUnit.MILLISECONDS);
         }
-        firstWord();
+        notifyFirstCallCompleted();
     }
 
-    /** Guards against a signal that never came: without it the sidecar stayed at an address that had closed for good. */
-    private void startWhereItIs() {
-        SocketAddress now = placeNow();
-        if (now != null && !now.equals(address)) {
-            moveTo(now);
+    /**
+     * Starts the next call at the current address. Guards against a change signal that never arrived, without which the sidecar
+     * kept calling an address that had closed for good.
+     */
+    private void startAtCurrentAddress() {
+        SocketAddress target = currentAddress();
+        if (target != null && !target.equals(address)) {
+            moveTo(target);
         } else {
             start();
         }
     }
 
-    private SocketAddress placeNow() {
+    private SocketAddress currentAddress() {
         try {
-            return where.get();
+            return addressSupplier.get();
         } catch (RuntimeException e) {
-            log.line("where discovery is now can't be read, it is asked where it was: " + e);
+            log.line("the address of discovery can't be read, going on with the previous one: " + e);
             return null;
         }
     }
 
     @Override
-    public boolean heeds(DiscoveryCall call) {
+    public boolean accepts(DiscoveryCall call) {
         return call == current || call == previous;
     }
 
     @Override
-    public void waits(DiscoveryCall call, boolean watching, long mostMs) {
+    public void waiting(DiscoveryCall call, boolean watching, long timeoutMs) {
         if (call == current) {
-            enter(watching ? State.WATCHING : State.LISTING, (double) mostMs);
+            enter(watching ? State.WATCHING : State.LISTING, (double) timeoutMs);
         }
     }
 
     @Override
-    public void asked(DiscoveryCall call) {
+    public void requestSent(DiscoveryCall call) {
         if (call == current) {
-            lease.asked(clock.nowMs());
+            lease.requestSent(clock.nowMs());
         }
     }
 
     @Override
-    public void unreadableForNow(DiscoveryCall call) {
+    public void readFailed(DiscoveryCall call) {
         if (call == current) {
-            lease.unreadable(clock.nowMs());
+            lease.readFailed(clock.nowMs());
         }
     }
 
     @Override
-    public void readOut(DiscoveryCall call) {
+    public void readRecovered(DiscoveryCall call) {
         if (call == current) {
-            lease.readOut();
+            lease.readRecovered();
         }
     }
 
     @Override
-    public void listed(DiscoveryCall call, double askedMs, boolean spoilt) {
+    public void listReceived(DiscoveryCall call, double askedMs, boolean readFailed) {
         if (call == current) {
-            lease.heardList(askedMs, spoilt);
+            lease.listReceived(askedMs, readFailed);
         }
     }
 
     /**
-     * There is life in the call at hand. Guards against pauses that stay long: a watch that had come up well and brought
-     * nothing but empty lines left them as they had grown, and its next break was answered seconds late.
+     * Resets the pause when the watch is alive. A watch that delivered nothing but empty lines once left the pause as long as it
+     * had grown, and the next failure was answered seconds late.
      */
     @Override
-    public void alive(DiscoveryCall call) {
+    public void watchAlive(DiscoveryCall call) {
         if (call == current) {
-            silent = 0;
-            alive();
+            silentWatches = 0;
+            markReachable();
         }
     }
 
-    private void alive() {
+    private void markReachable() {
         if (!reachable) {
-            log.line("discovery answers again, at version " + Math.max(seq, newest));
+            log.line("discovery answers again, at version " + Math.max(knownVersion, newestVersion));
         }
         reachable = true;
-        endsInVain = 0;
-        pauseMs = Timing.FIRST_PAUSE_MS;
-        lease.heard();
+        failedCallsInRow = 0;
+        pauseMs = Timing.INITIAL_PAUSE_MS;
+        lease.dataReceived();
     }
 
     @Override
-    public void silent(DiscoveryCall call, boolean word) {
+    public void watchSilent(DiscoveryCall call, boolean hadData) {
         if (call == current) {
-            silent = word ? 1 : silent + 1;
+            silentWatches = hadData ? 1 : silentWatches + 1;
         }
     }
 
     @Override
-    public void unreadable(DiscoveryCall call) {
+    public void malformed(DiscoveryCall call) {
         if (call == current) {
-            seq = -1;
+            knownVersion = -1;
         }
     }
 
     @Override
-    public void refused(int status) {
+    public void statusReceived(int status) {
         tally.discoveryCallFailed(Integer.toString(status));
     }
 
     @Override
-    public void failed(DiscoveryCall call, String why) {
+    public void callFailed(DiscoveryCall call, String reason) {
         if (call == current) {
-            lost(why);
+            markUnreachable(reason);
         }
     }
 
-    /** The first list after a move, or after a call that broke, ends what the old address has to say. */
-    private void heard(long version, int entries) {
-        if (!Double.isNaN(movedMs)) {
-            log.line("discovery at " + address + " first answers after " + Math.round(clock.nowMs() - movedMs)
+    /** Handles the first list after a move or a broken call, which makes the old address irrelevant. */
+    private void answered(long version, int entries) {
+        if (!Double.isNaN(movedAtMs)) {
+            log.line("discovery at " + address + " first answers after " + Math.round(clock.nowMs() - movedAtMs)
                     + " ms: version " + version + ", " + entries + " entries");
             reachable = true;
         }
-        movedMs = Double.NaN;
-        alive();
+        movedAtMs = Double.NaN;
+        markReachable();
         if (previous != null) {
             DiscoveryCall old = previous;
             previous = null;
@@ -462,45 +477,46 @@
         }
     }
 
-    private void lost(String why) {
+    private void markUnreachable(String reason) {
         if (reachable) {
-            log.line("discovery: " + why + "; going on with the list of version " + Math.max(seq, newest));
+            log.line("discovery: " + reason + "; going on with the list of version "
+                    + Math.max(knownVersion, newestVersion));
         }
         reachable = false;
     }
 
     @Override
-    public void confirms(DiscoveryCall call, HostUpdate update, long version) throws IOException {
-        if (call == current && remembered) {
-            remembered = false;
+    public void updateReceived(DiscoveryCall call, HostUpdate update, long version) throws IOException {
+        if (call == current && unconfirmed) {
+            unconfirmed = false;
             if (!update.whole() && update.seq() < version) {
-                seq = -1;
-                newest = -1;
+                knownVersion = -1;
+                newestVersion = -1;
                 throw new IOException(
-                        "it is at version " + update.seq() + " and knows nothing of the list of version " + version);
+                        "it is at version " + update.seq() + " and doesn't know the list of version " + version);
             }
         }
-        if (call == current && !Double.isNaN(movedMs)) {
+        if (call == current && !Double.isNaN(movedAtMs)) {
             call.firstSinceMove = true;
         }
         if (call == current) {
-            heard(update.seq(), update.entries().size());
+            answered(update.seq(), update.entries().size());
         }
     }
 
     @Override
-    public void take(DiscoveryCall call, HostUpdate update, boolean behind) {
+    public void applyUpdate(DiscoveryCall call, HostUpdate update, boolean outdated) {
         boolean moved = call.firstSinceMove;
         call.firstSinceMove = false;
         tally.listUpdated(update.seq());
         if (call == current) {
-            seq = -1; // until it has been taken over: an update that fails there must come again
+            knownVersion = -1; // until it has been applied: an update that fails there must be delivered again
         }
-        listener.accept(moved || behind ? update.elsewhere() : update);
+        listener.accept(moved || outdated ? update.asFromElsewhere() : update);
         if (call == current) {
-            seq = update.seq();
-            newest = seq;
-            firstWord();
+            knownVersion = update.seq();
+            newestVersion = knownVersion;
+            notifyFirstCallCompleted();
         }
     }
 }
--- a/src/main/java/ivybank/discovery/DiscoveryCall.java
+++ b/src/main/java/ivybank/discovery/DiscoveryCall.java
@@ -22,121 +22,130 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to discovery: a call for the list, and then the watch that goes on from it. On one event loop. */
+/**
+ * One connection to discovery: a request for the list, followed by the watch from its version on. Runs on one event loop.
+ */
 final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** Told what a call brings. */
+    /** Receives the events of a call. */
     interface Owner {
 
-        /** Whether what this call brings still counts. */
-        boolean heeds(DiscoveryCall call);
+        /** Returns whether events of this call are still relevant. */
+        boolean accepts(DiscoveryCall call);
 
-        /** Its request is with discovery from now on. */
-        void asked(DiscoveryCall call);
+        /** The request has been written and is pending at discovery from now on. */
+        void requestSent(DiscoveryCall call);
 
-        /** It can't be read at the moment. */
-        void unreadableForNow(DiscoveryCall call);
+        /** The connection cannot be read at the moment. */
+        void readFailed(DiscoveryCall call);
 
-        /** All that had come on it has been read, and it goes on. */
-        void readOut(DiscoveryCall call);
+        /** Everything that had arrived on the connection has been read, and the call continues. */
+        void readRecovered(DiscoveryCall call);
 
-        /** It waits now for a list, or for what comes next on its watch, for so many milliseconds at most. */
-        void waits(DiscoveryCall call, boolean watching, long mostMs);
+        /** The call now waits for a list, or for the next data of its watch, for at most this time. */
+        void waiting(DiscoveryCall call, boolean watching, long timeoutMs);
 
-        /** There is life in its watch. */
-        void alive(DiscoveryCall call);
+        /** The watch has delivered data that proves that discovery is alive. */
+        void watchAlive(DiscoveryCall call);
 
-        /** Its watch has brought nothing for longer than it may; {@code word}: it had brought something before. */
-        void silent(DiscoveryCall call, boolean word);
+        /** The watch has been silent for longer than its timeout; {@code hadData}: it had delivered data before. */
+        void watchSilent(DiscoveryCall call, boolean hadData);
 
-        /** Something came that can't be read: only the whole list makes up for what it may have said. */
-        void unreadable(DiscoveryCall call);
+        /** Malformed data arrived. Only the whole list makes up for updates that it may have contained. */
+        void malformed(DiscoveryCall call);
 
         /**
-         * It was answered with a list; its watch is yet to follow.
+         * Discovery answered with a list; the watch is yet to follow.
          *
-         * @param askedMs when it was asked for
-         * @param spoilt whether it could not be read for a while meanwhile
+         * @param askedMs when the list was requested
+         * @param readFailed whether the connection could not be read for a while meanwhile
          */
-        void listed(DiscoveryCall call, double askedMs, boolean spoilt);
+        void listReceived(DiscoveryCall call, double askedMs, boolean readFailed);
 
-        /** It was answered with this status, which is no list. */
-        void refused(int status);
+        /** Discovery answered with this status, which carries no list. */
+        void statusReceived(int status);
 
         /**
-         * An update has come that may be older than what is known.
+         * An update has arrived that may be older than what is known.
          *
-         * @param version up to which this call has told all, or -1
-         * @throws IOException if it shows that nothing can be gone on from
+         * @param version up to which this call has reported all changes, or -1
+         * @throws IOException if it shows that the call cannot resume from the known version
          */
-        void confirms(DiscoveryCall call, HostUpdate update, long version) throws IOException;
+        void updateReceived(DiscoveryCall call, HostUpdate update, long version) throws IOException;
 
-        /** An update has come that is new; {@code behind}: it is older than what this address has told before. */
-        void take(DiscoveryCall call, HostUpdate update, boolean behind);
+        /** A new update has arrived; {@code outdated}: it is older than what this address has reported before. */
+        void applyUpdate(DiscoveryCall call, HostUpdate update, boolean outdated);
 
-        /** It is about to end for this reason. */
-        void failed(DiscoveryCall call, String why);
+        /** The call is about to end for this reason. */
+        void callFailed(DiscoveryCall call, String why);
     }
 
     private static final String LIST = "/registry/instances";
     private static final String WATCH = LIST + "?stream=1&index=";
     private static final String NO_ANSWER = "no answer within ";
     private static final String SILENT_FOR = "silent for ";
-    private static final int OK = 200;
-    private static final int MOST_BYTES = 4 << 20;
-    /** What has come while the event loop was held up is looked at before anything counts as missing. */
-    private static final long ONE_MORE_PASS_MS = 1;
-    /** How soon after a read that failed the next one is tried. */
-    private static final long READ_OUT_PAUSE_MS = 5;
+    private static final int STATUS_OK = 200;
+    private static final int MAX_LIST_BYTES = 4 << 20;
+    /**
+     * An extra pass of the event loop before a timeout takes effect, so that input which arrived during an event loop stall is
+     * read first.
+     */
+    private static final long EXTRA_LOOP_PASS_MS = 1;
+    /** The delay before a failed read is retried. */
+    private static final long READ_RETRY_DELAY_MS = 5;
 
     private final Owner owner;
     private final Timing timing;
     private final Clock clock;
-    /** Watches in a row that had fallen silent when this call was begun. */
-    private final int silentBefore;
-    /** The connection that it is on. */
+    /** The number of consecutive watches that had fallen silent when this call started. */
+    private final int silentWatchesBefore;
+    /** The connection of this call. */
     OutboundConnection connection;
 
     private ChannelHandlerContext context;
-    private ByteBuf text;
-    private ListValues values;
+    private ByteBuf listBody;
+    private ListValues watchValues;
     private boolean watching;
-    /** The version that all is known up to by this address, or -1 where the whole list is needed. */
+    /** The version up to which all changes from this address are known, or -1 where the whole list is needed. */
     private long version;
-    /** The newest version that this address has told before, or -1. */
-    private long before;
-    /** Ends the call if what it waits for does not come. */
-    private ScheduledFuture<?> guard;
+    /** The newest version that this address has reported before, or -1. */
+    private long newestVersion;
+    /** Ends the call if the awaited data does not arrive. */
+    private ScheduledFuture<?> timeoutTask;
     /** Whether the next update is the first one since discovery moved here. */
     boolean firstSinceMove;
-    /** Whether this watch has brought a word. */
-    private boolean word;
-    /** Whether its last request has been written, when, and whether anything has come in answer. */
-    private boolean delivered;
+    /** Whether this watch has delivered data. */
+    private boolean hasData;
+    /** Whether its last request has been written completely. */
+    private boolean requestWritten;
 
+    /** The time at which the last request was sent. */
     private double askedMs;
+    /** Whether anything has arrived in answer to it. */
     private boolean answered;
-    /** Whether it can't be read at the moment, and whether that was so since its last request. */
+    /** Whether the connection cannot be read at the moment. */
     private boolean unreadable;
 
-    private boolean spoilt;
-    private boolean readOutScheduled;
-    /** What it ended of, as far as that is known here. */
+    /** Whether a read has failed since the last request. */
+    private boolean readFailedSinceRequest;
+
+    private boolean readRetryScheduled;
+    /** The reason why it ended, as far as it is known here. */
     private String failure = "its connection was closed";
 
-    DiscoveryCall(Owner owner, Timing timing, Clock clock, int silentBefore, long version, long before) {
+    DiscoveryCall(Owner owner, Timing timing, Clock clock, int silentWatchesBefore, long version, long newestVersion) {
         this.owner = owner;
         this.timing = timing;
         this.clock = clock;
-        this.silentBefore = silentBefore;
+        this.silentWatchesBefore = silentWatchesBefore;
         this.version = version;
-        this.before = Math.max(version, before);
+        this.newestVersion = Math.max(version, newestVersion);
     }
 
-    /** Ends it; its connection tells that it has ended. */
+    /** Closes the connection, which then reports the end of the call. */
     void close() {
         if (connection != null) {
-            connection.abandon("given up");
+            connection.abandon("abandoned");
         }
     }
 
@@ -145,13 +154,16 @@
         context = ctx;
     }
 
-    /** Looks at its connection without being told to: a registration with the selector may have failed, which Java tells nobody. */
+    /**
+     * Checks the connection without an event of the selector: a registration with the selector may have failed, which Java does
+     * not report.
+     */
     void verify() {
         if (context != null && context.channel() instanceof SteadySocketChannel channel) {
             SteadySocketChannel.Input found = channel.verify();
             if (unreadable && found == SteadySocketChannel.Input.READ_OUT && channel.isActive()) {
                 unreadable = false;
-                owner.readOut(this);
+                owner.readRecovered(this);
             }
         }
     }
@@ -160,165 +172,176 @@
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event == SteadySocketChannel.Event.READ_FAILED) {
             unreadable = true;
-            spoilt = true;
-            owner.unreadableForNow(this);
-            readOutSoon();
+            readFailedSinceRequest = true;
+            owner.readFailed(this);
+            scheduleReadRetry();
         }
         ctx.fireUserEventTriggered(event);
     }
 
-    /** Guards clients: while it can't be read nothing may be sent on after a while, so that its end is not waited for. */
-    private void readOutSoon() {
-        if (!readOutScheduled) {
-            readOutScheduled = true;
+    /**
+     * Retries the read soon: after a while without reads no request is sent by the list, so waiting for the end of the connection
+     * would cost clients.
+     */
+    private void scheduleReadRetry() {
+        if (!readRetryScheduled) {
+            readRetryScheduled = true;
             context.channel()
                     .eventLoop()
                     .schedule(
                             () -> {
-                                readOutScheduled = false;
+                                readRetryScheduled = false;
                                 verify();
                             },
-                            READ_OUT_PAUSE_MS,
+                            READ_RETRY_DELAY_MS,
                             TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) throws IOException {
-        text = ctx.alloc().buffer();
-        ask();
+        listBody = ctx.alloc().buffer();
+        sendRequest();
     }
 
-    private void ask() throws IOException {
+    private void sendRequest() throws IOException {
         watching = version >= 0;
-        delivered = false;
+        requestWritten = false;
         answered = false;
-        spoilt = unreadable;
+        readFailedSinceRequest = unreadable;
         askedMs = clock.nowMs();
-        guard(timing.firstAnswerMs(), NO_ANSWER);
+        startTimeout(timing.firstAnswerMs(), NO_ANSWER);
         if (watching) {
-            values = new ListValues(MOST_BYTES);
+            watchValues = new ListValues(MAX_LIST_BYTES);
         }
         DefaultFullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, watching ? WATCH + version : LIST);
         request.headers().set(HttpHeaderNames.HOST, "discovery");
         context.writeAndFlush(request).addListener(written -> {
             if (written.isSuccess()) {
-                delivered();
+                requestWritten();
             }
         });
     }
 
-    /** Writing it may have taken long: only from now on can it be answered. */
-    private void delivered() {
-        delivered = true;
-        owner.asked(this);
+    /** Restarts the timeout: writing may have taken long, and only now can the request be answered. */
+    private void requestWritten() {
+        requestWritten = true;
+        owner.requestSent(this);
         if (!answered) {
-            guard(timing.firstAnswerMs(), NO_ANSWER);
+            startTimeout(timing.firstAnswerMs(), NO_ANSWER);
         }
     }
 
-    /** What it waits for now, and for how long: only that, or what goes before it, ends the wait, not any byte. */
-    private void guard(long mostMs, String what) {
-        unguard();
-        owner.waits(this, watching, mostMs);
-        guard = context.channel()
+    /**
+     * Starts the timeout of the current wait. Only the awaited data, or data before it, ends the wait; arbitrary bytes do not.
+     */
+    private void startTimeout(long timeoutMs, String description) {
+        cancelTimeout();
+        owner.waiting(this, watching, timeoutMs);
+        timeoutTask = context.channel()
                 .eventLoop()
                 .schedule(
                         () -> {
-                            guard = context.channel()
+                            timeoutTask = context.channel()
                                     .eventLoop()
-                                    .schedule(() -> missed(mostMs, what), ONE_MORE_PASS_MS, TimeUnit.MILLISECONDS);
+                                    .schedule(
+                                            () -> timedOut(timeoutMs, description),
+                                            EXTRA_LOOP_PASS_MS,
+                                            TimeUnit.MILLISECONDS);
                         },
-                        mostMs,
+                        timeoutMs,
                         TimeUnit.MILLISECONDS);
     }
 
-    private void unguard() {
-        if (guard != null) {
-            guard.cancel(false);
+    private void cancelTimeout() {
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
         }
     }
 
-    /** Guards what stands unread in the socket: closing would drop it, and this machine is the reason that it was not read. */
-    private void missed(long mostMs, String what) {
-        if (unreadable || !delivered) {
-            guard(mostMs, what);
+    /**
+     * Ends the call, unless this machine is the reason for the silence: closing would drop unread input in the socket.
+     */
+    private void timedOut(long timeoutMs, String description) {
+        if (unreadable || !requestWritten) {
+            startTimeout(timeoutMs, description);
             return;
         }
         if (watching) {
-            owner.silent(this, word);
+            owner.watchSilent(this, hasData);
         }
-        exceptionCaught(context, new IOException(what + mostMs + " ms"));
+        exceptionCaught(context, new IOException(description + timeoutMs + " ms"));
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws IOException {
-        if (!owner.heeds(this)) {
+        if (!owner.accepts(this)) {
             return;
         }
         if (message.decoderResult().isFailure()) {
-            throw new IOException("what came is no HTTP");
+            throw new IOException("the response is not valid HTTP");
         }
         answered = true;
         if (message instanceof HttpResponse response) {
-            if (response.status().code() != OK) {
-                owner.refused(response.status().code());
-                throw new IOException("it answers " + response.status().code());
+            if (response.status().code() != STATUS_OK) {
+                owner.statusReceived(response.status().code());
+                throw new IOException(
+                        "answered with status " + response.status().code());
             }
-            guard(watching ? timing.wordMs(silentBefore) : timing.silenceMs(), SILENT_FOR);
+            startTimeout(watching ? timing.watchTimeoutMs(silentWatchesBefore) : timing.silenceMs(), SILENT_FOR);
         }
         if (message instanceof HttpContent content) {
             if (watching) {
-                watched(content.content());
+                watchDataReceived(content.content());
             } else {
-                text.writeBytes(content.content());
-                if (text.readableBytes() > MOST_BYTES) {
-                    throw new IOException("a list is longer than " + MOST_BYTES + " bytes");
+                listBody.writeBytes(content.content());
+                if (listBody.readableBytes() > MAX_LIST_BYTES) {
+                    throw new IOException("a list is longer than " + MAX_LIST_BYTES + " bytes");
                 }
             }
             if (message instanceof LastHttpContent) {
-                ended();
+                responseCompleted();
             }
         }
     }
 
-    private void ended() throws IOException {
+    private void responseCompleted() throws IOException {
         if (watching) {
             throw new IOException("the watch has ended");
         }
         JsonNode list;
         try {
-            list = Json.MAPPER.readTree(new ByteBufInputStream(text).readAllBytes());
+            list = Json.MAPPER.readTree(new ByteBufInputStream(listBody).readAllBytes());
         } catch (IOException e) {
-            throw unreadable("the list", e);
+            throw malformed("the list", e);
         }
-        text.clear();
+        listBody.clear();
         read(list);
-        owner.listed(this, askedMs, spoilt);
-        ask();
+        owner.listReceived(this, askedMs, readFailedSinceRequest);
+        sendRequest();
     }
 
-    private void watched(ByteBuf content) throws IOException {
+    private void watchDataReceived(ByteBuf content) throws IOException {
         ListValues.Piece piece;
         try {
-            piece = values.take(ByteBufUtil.getBytes(content));
+            piece = watchValues.feed(ByteBufUtil.getBytes(content));
         } catch (IOException e) {
-            throw unreadable("the watch from version " + version + ", at byte " + values.at() + ",", e);
+            throw malformed("the watch from version " + version + ", at byte " + watchValues.byteOffset() + ",", e);
         }
         for (JsonNode value : piece.values()) {
             read(value);
         }
         if (piece.isSignOfLife()) {
-            guard(timing.silenceMs(), SILENT_FOR);
-            word = true;
-            owner.alive(this);
+            startTimeout(timing.silenceMs(), SILENT_FOR);
+            hasData = true;
+            owner.watchAlive(this);
         }
     }
 
-    /** It may have said something that is now missed. */
-    private IOException unreadable(String where, Exception e) {
-        owner.unreadable(this);
+    /** Reports malformed data, which may have contained an update that is now missed. */
+    private IOException malformed(String where, Exception e) {
+        owner.malformed(this);
         String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
         return new IOException(where + " can't be read: " + reason, e);
     }
@@ -328,39 +351,39 @@
         try {
             update = HostUpdate.read(json);
         } catch (IllegalArgumentException e) {
-            throw unreadable("what came after version " + version, e);
+            throw malformed("the update after version " + version, e);
         }
-        owner.confirms(this, update, version);
-        // A watch that is resumed may say again what is known; what is older must not undo it.
+        owner.updateReceived(this, update, version);
+        // A resumed watch may repeat known updates; an older one must not undo them.
         if (update.whole() || update.seq() > version) {
-            boolean behind = update.seq() < before;
+            boolean outdated = update.seq() < newestVersion;
             version = update.seq();
-            before = version;
-            owner.take(this, update, behind);
+            newestVersion = version;
+            owner.applyUpdate(this, update, outdated);
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         failure = String.valueOf(cause.getMessage());
-        owner.failed(this, failure);
+        owner.callFailed(this, failure);
         ctx.close();
     }
 
-    /** What it ended of; once it has ended. */
+    /** Returns the reason why the call ended; valid once it has ended. */
     String failure() {
         return failure;
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) throws IOException {
-        unguard();
-        if (text != null) {
-            text.release();
-            text = null;
+        cancelTimeout();
+        if (listBody != null) {
+            listBody.release();
+            listBody = null;
         }
-        if (values != null) {
-            values.close();
+        if (watchValues != null) {
+            watchValues.close();
         }
     }
 }
--- a/src/main/java/ivybank/discovery/DiscoverySocketChannel.java
+++ b/src/main/java/ivybank/discovery/DiscoverySocketChannel.java
@@ -2,16 +2,16 @@
 
 import ivybank.transport.SteadySocketChannel;
 
-/** A connection to discovery. */
+/** A socket channel to discovery. */
 public final class DiscoverySocketChannel extends SteadySocketChannel {
 
     /**
-     * As long as a watch may be silent. What discovery has told stands in the socket meanwhile, and would be lost with it; another
-     * call fares no better, for Linux reports an error of one connection once.
+     * The silence timeout of a watch. Until then, what discovery has sent waits in the socket and would be lost by closing it.
+     * A new call would not help, because Linux reports an error of a connection only once.
      */
-    private static final double LONGEST_FAILURE_MS = 3000;
+    private static final double MAX_READ_FAILURE_MS = 3000;
 
     public DiscoverySocketChannel() {
-        super(LONGEST_FAILURE_MS);
+        super(MAX_READ_FAILURE_MS);
     }
 }
--- a/src/main/java/ivybank/discovery/HostUpdate.java
+++ b/src/main/java/ivybank/discovery/HostUpdate.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * What discovery says of upstreams: the whole list, or the entries that changed up to version {@code seq}; and whether
- * it is the first word from another address, which may be older than what is known.
+ * An update of the list of nodes from discovery: the whole list, or the entries that changed up to version {@code seq}.
+ * {@code fromElsewhere}: it may be older than what is already known, as the first update from another address may be.
  */
 public record HostUpdate(long seq, boolean whole, boolean fromElsewhere, List<Entry> entries) {
 
@@ -19,21 +19,21 @@
         this(seq, whole, false, entries);
     }
 
-    HostUpdate elsewhere() {
+    HostUpdate asFromElsewhere() {
         return new HostUpdate(seq, whole, true, entries);
     }
 
     /**
-     * The version from which a watch can go on from this list, as it was last known, or -1 where it is better to ask for the
-     * whole list: where nothing is known, or where a call costs nobody anything.
+     * Returns the version from which a watch can resume from this list, as it was last known, or -1 where the whole list should
+     * be requested: where nothing is known, or where a call is cheap.
      *
-     * @param asked whether calls wait in turn at one service for all sidecars
+     * @param asked whether calls queue at one discovery service shared by all sidecars
      */
     public long resumeFrom(boolean asked) {
         return asked && whole && !entries.isEmpty() && seq >= 0 ? seq : -1;
     }
 
-    /** One upstream; {@code bornMs} 0 means long ago. */
+    /** One node; a {@code bornMs} of 0 means that it started long ago. */
     public record Entry(
             String host,
             SocketAddress address,
@@ -48,7 +48,7 @@
         entries = List.copyOf(entries);
     }
 
-    /** Reads discovery's form; unknown fields are ignored, a malformed one is refused whole. */
+    /** Parses an update from discovery. Unknown fields are ignored; a malformed update is rejected as a whole. */
     public static HostUpdate read(JsonNode root) {
         if (!root.path("seq").canConvertToLong() || !root.path("hosts").isArray()) {
             throw new IllegalArgumentException("a list of upstreams needs seq and hosts");
@@ -78,7 +78,7 @@
         return switch (health) {
             case "Ready" -> Status.READY;
             case "Gone" -> Status.GONE;
-            default -> Status.DRAINING; // a word that is not known here is no leave to send anything new
+            default -> Status.DRAINING; // nothing new may be sent to a node whose health is unknown here
         };
     }
 }
--- a/src/main/java/ivybank/discovery/ListLease.java
+++ b/src/main/java/ivybank/discovery/ListLease.java
@@ -1,137 +1,141 @@
 package ivybank.discovery;
 
 /**
- * For how long the list may still be gone by where this machine itself may have missed what discovery had told. Between calls, and
- * while a call can't be read, nothing is heard. Where discovery alone is the reason no lease runs: a call that it leaves unanswered
- * covers the time for which it stands, for discovery learns nothing then, or counts as not reachable. Decides by the clock handed
- * in, in milliseconds.
+ * The time for which the list may still be used where this machine itself may have missed an update from discovery. Between
+ * calls, and while a call cannot be read, nothing is received. Where discovery alone is the reason, no lease runs: a call that
+ * it leaves unanswered covers the time for which it is pending, because discovery either learns nothing then or counts as
+ * unreachable. The caller passes the current time in, in milliseconds.
  *
- * <p>Where lists are pushed, what the agent has counts as told at once. So a span in which this machine spoilt a call may hide a
- * change, however silent discovery is afterwards: only its next answer ends that. Where lists are asked for, a change counts as told
- * after {@link Timing#TOLD_AFTER_FAILED_CALL_MS} in which discovery could be reached, so that a shorter span hides none.
+ * <p>Where lists are pushed, what the agent has counts as reported at once. A span in which this machine interrupted a call may
+ * therefore hide a change, however long discovery is silent afterwards, and only its next answer ends that. Where sidecars
+ * request lists from a shared service, a change counts as reported after {@link Timing#FAILURE_REPORT_LIMIT_MS} in which
+ * discovery could be reached, so a shorter span hides none.
  */
 public final class ListLease {
 
-    /** Kept of the time that a drain is allowed, for the way from the decision to the first byte. */
-    private static final double MARGIN_MS = 150;
+    /** The part of a drain's grace that is reserved for the time from the decision to the first byte. */
+    private static final double DISPATCH_MARGIN_MS = 150;
 
-    private static final double LEAST_MS = 50;
+    private static final double MIN_LEASE_MS = 50;
 
     private final boolean asked;
     private final double leaseMs;
-    /** Whether a call stands with discovery, and whether it can't be read at the moment. */
-    private boolean standing;
-
+    /** Whether discovery holds a request of this sidecar. */
+    private boolean requestPending;
+    /** Whether the current call cannot be read at the moment. */
     private boolean unreadable;
-    /** Since when nothing is heard, or NaN while a call stands that can be read. */
-    private double unheardSinceMs = Double.NaN;
-    /** Whether this machine is a reason for that. */
-    private boolean spoiltHere;
-    /** Since when something may have been told that was not heard, and will not be before the next answer; or NaN. */
-    private double missedSinceMs = Double.NaN;
+    /** The time since which no readable call is pending, or NaN while one is. */
+    private double uncoveredSinceMs = Double.NaN;
+    /** Whether this machine is one reason for that. */
+    private boolean localFault;
+    /** The time since which an update may have been missed that only the next answer can bring; or NaN. */
+    private double possiblyMissedSinceMs = Double.NaN;
 
     private ListLease(boolean asked, double leaseMs) {
         this.asked = asked;
         this.leaseMs = leaseMs;
     }
 
-    /** One that never lapses. */
+    /** Returns a lease that never lapses. */
     public static ListLease unlimited() {
         return new ListLease(true, Double.POSITIVE_INFINITY);
     }
 
     /**
-     * The usual one.
+     * Returns the standard lease.
      *
-     * @param asked whether calls wait in turn at one service for all sidecars
-     * @param graceMs for how long a node may be sent to that was told to drain
+     * @param asked whether calls queue at one discovery service shared by all sidecars
+     * @param graceMs how long requests may still be sent to a node that has been told to drain
      */
     public static ListLease standard(boolean asked, double graceMs) {
-        double allowedMs = asked ? Timing.TOLD_AFTER_FAILED_CALL_MS : graceMs;
-        return new ListLease(asked, Math.max(LEAST_MS, allowedMs - MARGIN_MS));
+        double allowedMs = asked ? Timing.FAILURE_REPORT_LIMIT_MS : graceMs;
+        return new ListLease(asked, Math.max(MIN_LEASE_MS, allowedMs - DISPATCH_MARGIN_MS));
     }
 
     /**
-     * The list is one that the process was started with, at this time. Where lists are pushed nothing is served before the agent was
-     * asked, so that this says nothing there.
+     * Starts the lease with the list that the process was started with, at this time. Where lists are pushed, this has no
+     * effect, because no request is served before the agent has been asked.
      */
     public void startAt(double startedMs) {
-        unheardSinceMs = asked ? startedMs : Double.NaN;
+        uncoveredSinceMs = asked ? startedMs : Double.NaN;
     }
 
-    /** A call stands with discovery from now on; or it counts as having stood since then, for discovery could not be reached. */
-    void asked(double nowMs) {
-        standing = true;
-        if (Double.isNaN(unheardSinceMs)) {
+    /**
+     * Records that a request reached discovery at this time, or counts as pending since then because discovery was unreachable.
+     */
+    void requestSent(double nowMs) {
+        requestPending = true;
+        if (Double.isNaN(uncoveredSinceMs)) {
             return;
         }
-        boolean missed = asked ? nowMs - unheardSinceMs > leaseMs : spoiltHere;
-        if (missed && Double.isNaN(missedSinceMs)) {
-            missedSinceMs = unheardSinceMs;
+        boolean mayHaveMissed = asked ? nowMs - uncoveredSinceMs > leaseMs : localFault;
+        if (mayHaveMissed && Double.isNaN(possiblyMissedSinceMs)) {
+            possiblyMissedSinceMs = uncoveredSinceMs;
         }
-        spoiltHere = false;
-        unheardSinceMs = unreadable ? nowMs : Double.NaN;
+        localFault = false;
+        uncoveredSinceMs = unreadable ? nowMs : Double.NaN;
     }
 
-    /** The call at hand can't be read: what comes on it stands in the socket. */
-    void unreadable(double nowMs) {
+    /** Records that the current call cannot be read; what arrives on it is buffered in the socket. */
+    void readFailed(double nowMs) {
         unreadable = true;
-        notHeard(nowMs);
+        startUncovered(nowMs);
     }
 
-    /** All that had come on the call at hand has been read, and it goes on. */
-    void readOut() {
+    /** Records that everything buffered on the current call has been read, and that it continues. */
+    void readRecovered() {
         unreadable = false;
-        if (standing) {
-            unheardSinceMs = Double.NaN;
-            spoiltHere = false;
+        if (requestPending) {
+            uncoveredSinceMs = Double.NaN;
+            localFault = false;
         }
     }
 
     /**
-     * The call has ended.
+     * Records the end of the call.
      *
-     * @param here whether this machine is known to be the reason; it is in any case where the call never stood or could not be read
+     * @param local whether this machine is known to be the reason; it is one in any case where no request was pending or the call
+     *     could not be read
      */
-    void ended(double nowMs, boolean here) {
-        notHeard(nowMs);
-        spoiltHere |= here || unreadable || !standing;
-        standing = false;
+    void callEnded(double nowMs, boolean local) {
+        startUncovered(nowMs);
+        localFault |= local || unreadable || !requestPending;
+        requestPending = false;
         unreadable = false;
     }
 
-    /** Discovery has told something on a watch, and with it all before that. */
-    void heard() {
-        missedSinceMs = Double.NaN;
-        standing = true;
+    /** Records data on a watch, which includes everything before it. */
+    void dataReceived() {
+        possiblyMissedSinceMs = Double.NaN;
+        requestPending = true;
         if (!unreadable) {
-            readOut();
+            readRecovered();
         }
     }
 
     /**
-     * Discovery has answered with the list as it was at some time since the call; a watch is yet to follow.
+     * Records that discovery has answered with the list as it was at some time since the call; a watch is yet to follow.
      *
-     * @param askedMs when it was asked for
-     * @param spoilt whether the call could not be read for a while meanwhile
+     * @param askedMs when the list was requested
+     * @param readFailed whether the call could not be read for a while meanwhile
      */
-    void heardList(double askedMs, boolean spoilt) {
-        missedSinceMs = Double.NaN;
-        unheardSinceMs = askedMs;
-        spoiltHere = spoilt;
-        standing = false;
+    void listReceived(double askedMs, boolean readFailed) {
+        possiblyMissedSinceMs = Double.NaN;
+        uncoveredSinceMs = askedMs;
+        localFault = readFailed;
+        requestPending = false;
         unreadable = false;
     }
 
-    private void notHeard(double nowMs) {
-        if (Double.isNaN(unheardSinceMs)) {
-            unheardSinceMs = nowMs;
+    private void startUncovered(double nowMs) {
+        if (Double.isNaN(uncoveredSinceMs)) {
+            uncoveredSinceMs = nowMs;
         }
     }
 
-    /** Whether nothing may be sent on by the list any more. */
+    /** Returns whether requests may no longer be sent by the list. */
     public boolean hasLapsed(double nowMs) {
-        boolean missing = asked || spoiltHere || unreadable;
-        return nowMs - missedSinceMs > leaseMs || missing && nowMs - unheardSinceMs > leaseMs;
+        boolean incomplete = asked || localFault || unreadable;
+        return nowMs - possiblyMissedSinceMs > leaseMs || incomplete && nowMs - uncoveredSinceMs > leaseMs;
     }
 }
--- a/src/main/java/ivybank/discovery/ListValues.java
+++ b/src/main/java/ivybank/discovery/ListValues.java
@@ -12,69 +12,71 @@
 import java.util.List;
 
 /**
- * Takes the JSON values out of a watch, whatever the white space in and between them and wherever the pieces are cut. Guards
- * against lists that come indented: taken for one a line they could not be read at all. Holds one value that is not whole yet,
- * of so many bytes at most.
+ * Parses the JSON values of a watch, whatever white space stands in and between them and wherever the input is split. Lists
+ * may be indented; a parser that expects one list per line could not read them. Buffers at most one incomplete value of a
+ * bounded size.
  */
 final class ListValues implements Closeable {
 
-    /** What a piece has brought: the values that are whole now, and whether an empty line stood between values. */
+    /**
+     * The result of a piece of input: the values that are now complete, and whether an empty line came between values.
+     */
     record Piece(List<JsonNode> values, boolean emptyLine) {
 
-        /** Whether it shows that the other side is there: a value that never gets whole does not. */
+        /** Returns whether it proves that the other side is alive; a value that never completes does not. */
         boolean isSignOfLife() {
             return emptyLine || !values.isEmpty();
         }
     }
 
-    private final int mostBytes;
+    private final int maxValueBytes;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private TokenBuffer value;
     private int depth;
-    private long begunAt;
+    private long valueStartOffset;
 
-    ListValues(int mostBytes) throws IOException {
-        this.mostBytes = mostBytes;
+    ListValues(int maxValueBytes) throws IOException {
+        this.maxValueBytes = maxValueBytes;
         this.parser = Json.MAPPER.getFactory().createNonBlockingByteArrayParser();
         this.feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
     /**
-     * Takes what has come next.
+     * Parses the next piece of input.
      *
-     * @throws IOException if it is no JSON, or a value is too long; where, is said in bytes from the begin of the watch
+     * @throws IOException if it is not JSON or a value is too long; locations are in bytes from the start of the watch
      */
-    Piece take(byte[] bytes) throws IOException {
-        boolean emptyLine = value == null && beginsWithEmptyLine(bytes);
-        List<JsonNode> whole = new ArrayList<>(1);
+    Piece feed(byte[] bytes) throws IOException {
+        boolean emptyLine = value == null && startsWithEmptyLine(bytes);
+        List<JsonNode> complete = new ArrayList<>(1);
         feeder.feedInput(bytes, 0, bytes.length);
         for (JsonToken token = parser.nextToken();
                 token != null && token != JsonToken.NOT_AVAILABLE;
                 token = parser.nextToken()) {
             if (value == null) {
                 value = new TokenBuffer(parser);
-                begunAt = at();
+                valueStartOffset = byteOffset();
             }
             value.copyCurrentEvent(parser);
             depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
             if (depth == 0) {
-                whole.add(Json.MAPPER.readTree(value.asParser()));
+                complete.add(Json.MAPPER.readTree(value.asParser()));
                 value = null;
             }
         }
-        if (value != null && at() - begunAt > mostBytes) {
-            throw new IOException("a list is longer than " + mostBytes + " bytes");
+        if (value != null && byteOffset() - valueStartOffset > maxValueBytes) {
+            throw new IOException("a list is longer than " + maxValueBytes + " bytes");
         }
-        return new Piece(whole, emptyLine);
+        return new Piece(complete, emptyLine);
     }
 
-    /** How many bytes have been read. */
-    long at() {
+    /** Returns how many bytes have been parsed. */
+    long byteOffset() {
         return parser.currentLocation().getByteOffset();
     }
 
-    private static boolean beginsWithEmptyLine(byte[] bytes) {
+    private static boolean startsWithEmptyLine(byte[] bytes) {
         for (byte each : bytes) {
             if (each == '\n') {
                 return true;
--- a/src/main/java/ivybank/discovery/Node.java
+++ b/src/main/java/ivybank/discovery/Node.java
@@ -3,47 +3,54 @@
 import ivybank.policy.Balancer.Status;
 import java.net.SocketAddress;
 
-/** One upstream as this sidecar knows it: its number for the module, where to dial it, and whether it may be sent to. */
+/**
+ * A node as this sidecar knows it: its number in the decision module, its address, and whether requests may be sent to it.
+ */
 public final class Node {
 
     public final int id;
     public final String host;
     public SocketAddress address;
     public boolean ready;
-    /** What discovery said last of its state; gone where a whole list left it out. */
+    /** The last status from discovery; {@code GONE} where a whole list left the node out. */
     Status status;
-    /** When its process started, as discovery told last, Unix time in milliseconds; 0 for long ago. */
+    /** The start of its process as discovery last stated it, in Unix milliseconds; 0 for long ago. */
     double bornMs;
-    /** The same by this process's clock. */
+    /** The start of its process by the clock of this process. */
     double processStartedMs;
-    /** What discovery said last of it. */
+    /** The last entry from discovery. */
     HostUpdate.Entry listed;
-    /** Since when it has been out by the operators' order, or 0; and when it was called back last. */
-    double outSinceMs;
+    /** The time since which operators have it out of service, or 0. */
+    double outOfServiceSinceMs;
 
-    double calledBackMs;
+    /** The time of its last return to service. */
+    double returnedToServiceMs;
 
     public Node(int id, String host) {
         this.id = id;
         this.host = host;
     }
 
-    /** When its process started, or when it was called back if that is later, by this process's clock; 0 for long ago. */
+    /**
+     * Returns the start of its process, or its return to service if that is later, by the clock of this process; 0 for long ago.
+     */
     public double startedMs() {
-        return Math.max(processStartedMs, calledBackMs);
+        return Math.max(processStartedMs, returnedToServiceMs);
     }
 
-    /** What lies between its start as discovery states it and by this process's clock, in milliseconds. */
+    /**
+     * Returns the difference between its start by the clock of this process and as discovery states it, in milliseconds.
+     */
     double clockCorrectionMs() {
         return bornMs <= 0 ? 0 : processStartedMs - bornMs;
     }
 
-    /** The zone that it is listed in; empty where it is not known. */
+    /** Returns the zone in which it is listed; empty where it is not known. */
     public String zone() {
         return listed == null ? "" : listed.zone();
     }
 
-    /** The cell that it is listed in. */
+    /** Returns the cell in which it is listed. */
     public int cell() {
         return listed == null ? 0 : listed.cell();
     }
--- a/src/main/java/ivybank/discovery/StartTimes.java
+++ b/src/main/java/ivybank/discovery/StartTimes.java
@@ -4,29 +4,31 @@
 import java.util.Collection;
 
 /**
- * Tells when nodes started by the clock of this process. Discovery states starts in Unix time by a clock of its own; that of this
- * process was read once, at its start, and may have been stepped by an hour before. What nodes' starts show of the difference:
- * none lies in the future, and one that is told as a change has just been. Where neither contradicts the clock, it is believed.
- * Decides by the clock handed in, in milliseconds.
+ * Converts start times of nodes to the clock of this process. Discovery states starts in Unix time by its own clock. The clock
+ * of this process was read once, at its start, and may be off by an hour where it was stepped before. The starts reveal the
+ * difference: none lies in the future, and one that is reported as a change is recent. Where neither contradicts the local
+ * clock, no correction is made. The caller passes the current time in, in milliseconds.
  */
 final class StartTimes {
 
-    /** Behind by more than this, the clock is wrong: no node starts later than it is told. */
-    private static final double FUTURE_MS = 1000;
-    /** A change is told within seconds; outages of discovery and long deploys included, within this. */
-    private static final double LONGEST_TOLD_AFTER_MS = 300_000;
-    /** So long before the newest start another one still counts as one with it: no node warms up for longer. */
+    /**
+     * If a start lies further in the future than this, the local clock is behind: no node starts after it is reported.
+     */
+    private static final double CLOCK_TOLERANCE_MS = 1000;
+    /** Changes are reported within seconds; this includes outages of discovery and long deployments. */
+    private static final double MAX_REPORT_DELAY_MS = 300_000;
+    /** Starts within this time before the newest one count as simultaneous with it: no node warms up for longer. */
     private static final double SAME_WAVE_MS = 60_000;
 
-    /** The least time from a start until it was known here, by this process's clock. */
-    private double leastAgeMs = Double.POSITIVE_INFINITY;
+    /** The shortest time from a start until it was known here, by the clock of this process. */
+    private double minAgeMs = Double.POSITIVE_INFINITY;
 
     private double correctionMs;
 
     /**
-     * Looks at what discovery has told.
+     * Learns from entries that discovery has reported.
      *
-     * @param change whether it was told as a change, not as part of the whole list
+     * @param change whether they were reported as a change rather than as part of the whole list
      */
     void observe(Collection<HostUpdate.Entry> entries, boolean change, double nowMs) {
         double newestMs = entries.stream()
@@ -34,27 +36,29 @@
                 .mapToDouble(HostUpdate.Entry::bornMs)
                 .max()
                 .orElse(Double.NEGATIVE_INFINITY);
-        if (nowMs - newestMs >= leastAgeMs) {
-            return; // it shows nothing new
+        if (nowMs - newestMs >= minAgeMs) {
+            return; // no new information
         }
-        leastAgeMs = nowMs - newestMs;
-        boolean believed = leastAgeMs >= -FUTURE_MS && leastAgeMs <= LONGEST_TOLD_AFTER_MS;
-        boolean contradicted = leastAgeMs < -FUTURE_MS || change || isFewOf(entries, newestMs);
-        correctionMs = believed || !contradicted ? 0 : leastAgeMs;
+        minAgeMs = nowMs - newestMs;
+        boolean plausible = minAgeMs >= -CLOCK_TOLERANCE_MS && minAgeMs <= MAX_REPORT_DELAY_MS;
+        boolean contradicted = minAgeMs < -CLOCK_TOLERANCE_MS || change || isMinorityNew(entries, newestMs);
+        correctionMs = plausible || !contradicted ? 0 : minAgeMs;
     }
 
     /**
-     * Whether those that may have started just now, if the clock is ahead, are few: then it costs little to take them for that,
-     * and where all started together long ago, the clock is believed.
+     * Returns whether the nodes that may have just started, if the local clock is ahead, are a minority. Then treating them as
+     * just started costs little. Where all nodes started together long ago, the local clock is trusted.
      */
-    private static boolean isFewOf(Collection<HostUpdate.Entry> entries, double newestMs) {
+    private static boolean isMinorityNew(Collection<HostUpdate.Entry> entries, double newestMs) {
         long newest = entries.stream()
                 .filter(entry -> entry.bornMs() > newestMs - SAME_WAVE_MS)
                 .count();
         return 2 * newest <= entries.size();
     }
 
-    /** When a node started that is told now, by this process's clock and never later than now; 0 for long ago. */
+    /**
+     * Returns the start of a node that is reported now, by the clock of this process and never later than now; 0 for long ago.
+     */
     double startedMs(double bornMs, double nowMs) {
         return bornMs <= 0 ? 0 : Math.min(nowMs, bornMs + correctionMs);
     }
--- a/src/main/java/ivybank/discovery/Timing.java
+++ b/src/main/java/ivybank/discovery/Timing.java
@@ -1,117 +1,133 @@
 package ivybank.discovery;
 
 /**
- * How patient a sidecar is with discovery, in ms: with a watch that says nothing, with the first answer to a call, with a
- * connection that is coming up, and between tries at most; {@code asked}: whether calls wait in turn at one service for all
- * sidecars. docs/operators/daemon.md tells why the standard values are what they are.
+ * Timeouts and delays of the calls to discovery, in milliseconds: the silence timeout of a watch, the timeouts of the first
+ * answer and of the connection, and the longest pause between calls. {@code asked}: calls queue at one discovery service
+ * shared by all sidecars. docs/operators/daemon.md gives the reasons for the standard values.
  */
 public record Timing(int silenceMs, int firstAnswerMs, int connectMs, double longestPauseMs, boolean asked) {
 
-    /** A drain's grace where the settings name none. */
+    /** The grace of a drain where the settings name none. */
     public static final double DEFAULT_DRAIN_GRACE_MS = 500;
-    /** What is told on a watch, or on none, counts as told so long after a watch has fallen silent. */
-    public static final double SILENCE_COUNTS_MS = 6000;
-    /** For a call that may wait: so long after that wait is over. */
-    public static final double WAIT_COUNTS_MS = 2000;
-    /** Whatever became of calls, a change counts as told so long after discovery had it and could be reached. */
-    public static final double TOLD_AFTER_FAILED_CALL_MS = 6000;
-    /** The pause after the first break of what was well; each one after it is twice as long. */
-    static final double FIRST_PAUSE_MS = 50;
+    /**
+     * After a watch has fallen silent, a change counts as reported to this sidecar at the latest after this time, whether a watch
+     * is open or not.
+     */
+    public static final double SILENCE_LIMIT_MS = 6000;
+    /** A call that may queue at discovery counts as answered at the latest this long after its wait. */
+    public static final double QUEUED_CALL_REPORT_LIMIT_MS = 2000;
+    /**
+     * Whatever became of earlier calls, a change counts as reported this long after discovery had it and could be reached.
+     */
+    public static final double FAILURE_REPORT_LIMIT_MS = 6000;
+    /** The pause after the first failure of a healthy call; it doubles with each further failure. */
+    static final double INITIAL_PAUSE_MS = 50;
 
     /**
-     * An empty line comes every 2 s, and what could have been heard counts as told 6 s later. Guards against a watch
-     * that stays open and brings nothing: after 7 s upstreams that were gone had been sent to for too long. A list is
-     * asked for once too often where lines are a second late.
+     * Discovery sends an empty line every 2 s, and a change counts as reported 6 s after a watch fell silent. Guards against a
+     * watch that stays open and delivers nothing: after 7 s, requests had gone to removed nodes for too long. Where the
+     * empty lines are a second late, one list too many is requested.
      */
-    private static final int SILENCE_MS = 3000;
-    /** The first word of a watch that follows a silent one: the empty line and a little. */
-    private static final int FIRST_WORD_MS = 2300;
-    /** Where lists are asked for: a call waits so long in discovery's queue at the most, and ends with 503 then. */
-    private static final int LONGEST_WAIT_MS = 2000;
-    /** Where lists are asked for: the longest wait and a little. */
-    private static final int ASKED_ANSWER_MS = 2300;
+    private static final int SILENCE_TIMEOUT_MS = 3000;
+    /** For the first data of a watch that follows a silent one: the interval of empty lines and a margin. */
+    private static final int RETRIED_WATCH_TIMEOUT_MS = 2300;
+    /** With a shared service, a call waits at most this long in its queue and ends with status 503 then. */
+    private static final int MAX_QUEUE_WAIT_MS = 2000;
+    /** With a shared service: the longest wait in the queue and a margin. */
+    private static final int QUEUED_ANSWER_TIMEOUT_MS = 2300;
 
-    private static final int CONNECT_MS = 1000;
-    /** Where lists are asked for: two silent watches, and this between them, have to fit in {@link #SILENCE_COUNTS_MS}. */
-    private static final int ASKED_CONNECT_MS = 500;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    /**
+     * With a shared service, two silent watches and this time between them must fit in {@link #SILENCE_LIMIT_MS}.
+     */
+    private static final int QUEUED_CONNECT_TIMEOUT_MS = 500;
 
-    private static final int AT_ONCE_MS = 1000;
-    private static final double LONGEST_PAUSE_MS = 1500;
+    private static final int ANSWER_TIMEOUT_MS = 1000;
+    private static final double MAX_PAUSE_MS = 1500;
     /**
-     * Where lists are asked for: what {@link #TOLD_AFTER_FAILED_CALL_MS} leaves beside two connections, a call that is given up
-     * and one that waits. Longer ones would do discovery no good: a sidecar has one call there at most, whatever happens.
+     * With a shared service: what {@link #FAILURE_REPORT_LIMIT_MS} leaves beside two connections, a call that is abandoned
+     * and one that waits. A longer pause would not relieve discovery: each sidecar has at most one call there in any case.
      */
-    private static final double ASKED_LONGEST_PAUSE_MS = 600;
+    private static final double QUEUED_MAX_PAUSE_MS = 600;
     /**
-     * Of a drain's grace, where lists are pushed: the agent answers at once, and what it gets when discovery comes back
-     * counts at once. What is left of the grace is for the list itself.
+     * Parts of a drain's grace where a local agent pushes lists: the agent answers at once, and what it receives when discovery
+     * comes back counts as reported at once. The rest of the grace is left for the list itself.
      */
-    private static final double CONNECT_PART = 0.15;
+    private static final double CONNECT_GRACE_RATIO = 0.15;
 
-    private static final double ANSWER_PART = 0.3;
-    private static final double PAUSE_PART = 0.15;
-    private static final int LEAST_MS = 20;
-    private static final double LEAST_PAUSE_MS = 10;
+    private static final double ANSWER_GRACE_RATIO = 0.3;
+    private static final double PAUSE_GRACE_RATIO = 0.15;
+    private static final int MIN_TIMEOUT_MS = 20;
+    private static final double MIN_PAUSE_MS = 10;
 
     /**
-     * The standard.
+     * Returns the standard timing.
      *
-     * @param asked whether calls wait in turn at one service for all sidecars
-     * @param graceMs for how long a node may be sent to that was told to drain
+     * @param asked whether calls queue at one discovery service shared by all sidecars
+     * @param graceMs how long requests may still be sent to a node that has been told to drain
      */
     public static Timing standard(boolean asked, double graceMs) {
         return asked
-                ? new Timing(SILENCE_MS, ASKED_ANSWER_MS, ASKED_CONNECT_MS, ASKED_LONGEST_PAUSE_MS, true)
+                ? new Timing(
+                        SILENCE_TIMEOUT_MS,
+                        QUEUED_ANSWER_TIMEOUT_MS,
+                        QUEUED_CONNECT_TIMEOUT_MS,
+                        QUEUED_MAX_PAUSE_MS,
+                        true)
                 : new Timing(
-                        SILENCE_MS,
-                        (int) within(LEAST_MS, ANSWER_PART * graceMs, AT_ONCE_MS),
-                        (int) within(LEAST_MS, CONNECT_PART * graceMs, CONNECT_MS),
-                        within(LEAST_PAUSE_MS, PAUSE_PART * graceMs, LONGEST_PAUSE_MS),
+                        SILENCE_TIMEOUT_MS,
+                        (int) clamp(MIN_TIMEOUT_MS, ANSWER_GRACE_RATIO * graceMs, ANSWER_TIMEOUT_MS),
+                        (int) clamp(MIN_TIMEOUT_MS, CONNECT_GRACE_RATIO * graceMs, CONNECT_TIMEOUT_MS),
+                        clamp(MIN_PAUSE_MS, PAUSE_GRACE_RATIO * graceMs, MAX_PAUSE_MS),
                         false);
     }
 
-    private static double within(double least, double value, double most) {
-        return Math.max(least, Math.min(value, most));
+    private static double clamp(double min, double value, double max) {
+        return Math.max(min, Math.min(value, max));
     }
 
-    /** How long the watch that follows {@code silent} silent ones may be without a word. */
-    int wordMs(int silent) {
-        return asked && silent > 0 ? Math.min(silenceMs, FIRST_WORD_MS) : silenceMs;
+    /** Returns how long a watch may deliver nothing after {@code silentWatches} silent ones in a row. */
+    int watchTimeoutMs(int silentWatches) {
+        return asked && silentWatches > 0 ? Math.min(silenceMs, RETRIED_WATCH_TIMEOUT_MS) : silenceMs;
     }
 
     /**
-     * Whether the whole list is asked for after so many silent watches, which tells at once what was missed: after the first
-     * where a call costs nothing, after the second where all ask one service.
+     * Returns whether the whole list is requested after so many silent watches, which reports what was missed at once: after the
+     * first where a call is cheap, after the second where all sidecars call one service.
      */
-    boolean asksForAll(int silent) {
-        return silent > (asked ? 1 : 0);
+    boolean needsWholeList(int silentWatches) {
+        return silentWatches > (asked ? 1 : 0);
     }
 
-    /** The longest from discovery's return to the begin of a call that it answers: one begun just before hangs first. */
-    public double returnMs() {
+    /**
+     * Returns the longest time from discovery's return to the start of a call that it answers: a call that started just before
+     * hangs first.
+     */
+    public double maxCallAfterOutageMs() {
         return connectMs + firstAnswerMs + longestPauseMs;
     }
 
-    /** How long a call that is answered waits for it at most. */
-    public double longestWaitMs() {
-        return asked ? Math.min(LONGEST_WAIT_MS, firstAnswerMs) : firstAnswerMs;
+    /** Returns the longest time that an answered call waits for its answer. */
+    public double maxAnswerWaitMs() {
+        return asked ? Math.min(MAX_QUEUE_WAIT_MS, firstAnswerMs) : firstAnswerMs;
     }
 
     /**
-     * The longest from the moment in which discovery has a change and can be reached until it is told, whatever becomes of the
-     * call at hand: that one hangs and is given up, or fails at the last moment; then there is the longest pause, and a call
-     * whose connection takes all of its time, and which then waits for as long as a call may.
+     * Returns the longest time from the moment at which discovery has a change and can be reached until it is reported here,
+     * whatever becomes of the current call. That call hangs and is abandoned, or fails at the last moment; then come the longest
+     * pause and a call that uses all of its connect timeout and then the longest wait.
      */
-    public double toldAfterFailedCallMs() {
-        return returnMs() + connectMs + longestWaitMs();
+    public double maxReportAfterFailureMs() {
+        return maxCallAfterOutageMs() + connectMs + maxAnswerWaitMs();
     }
 
     /**
-     * The longest from the moment in which a watch fell silent to the begin of a call that says what was missed, where calls
-     * are answered: at once, or (asked) once they have waited. The one after an asked watch may be silent as well.
+     * Returns the longest time from the moment at which a watch fell silent to the start of a call that reports what was missed,
+     * provided that calls are answered: at once, or, with a shared service ({@code asked}), after their wait. There, the watch
+     * after the silent one may be silent as well.
      */
-    public double silenceEndsMs() {
-        double anew = Math.min(FIRST_PAUSE_MS, longestPauseMs) + connectMs;
-        return silenceMs + anew + (asked ? wordMs(1) : 0);
+    public double maxSilenceMs() {
+        double reconnectMs = Math.min(INITIAL_PAUSE_MS, longestPauseMs) + connectMs;
+        return silenceMs + reconnectMs + (asked ? watchTimeoutMs(1) : 0);
     }
 }
--- a/src/main/java/ivybank/discovery/package-info.java
+++ b/src/main/java/ivybank/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The list of nodes and how it is followed. */
+/** The list of nodes, and the calls to discovery that keep it up to date. */
 package ivybank.discovery;
--- a/src/test/java/ivybank/discovery/DirectoryTest.java
+++ b/src/test/java/ivybank/discovery/DirectoryTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The upstreams that discovery names, while hosts come and go for ever. */
+/** Tests the directory of nodes while hosts keep coming and going. */
 class DirectoryTest {
 
     private static final double NOW_MS = 10_000;
@@ -35,11 +35,11 @@
     }
 
     @Test
-    void aHostThatIsGoneIsForgottenAndItsNumberNotGivenAgain() {
+    void aGoneHostIsForgottenAndItsNumberNotReused() {
         int first = apply(false, "s-1", Status.READY);
         assertEquals(first, apply(false, "s-1", Status.DRAINING));
         Node node = directory.node(first);
-        assertNotNull(node, "what drains is still known");
+        assertNotNull(node, "a draining node is still known");
         assertEquals(first, apply(false, "s-1", Status.GONE));
         assertNull(directory.node(first));
         assertFalse(node.ready);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aWholeListForgetsWhatItDoesNotName() {
+    void aWholeListRemovesHostsThatItDoesNotName() {
         int first = apply(false, "s-1", Status.READY);
         Node node = directory.node(first);
         retired.clear();
@@ -64,25 +64,28 @@
         return new HostUpdate.Entry(host, new InetSocketAddress("127.0.0.1", 7070), status, bornMs, "a", "k", 0, 1);
     }
 
-    /** A list that names a host twice once left the module with a node that nobody knew, or sent to one that drains. */
+    /**
+     * Guards against a list that names a host twice: the decision module once kept a node that the directory no longer knew, and
+     * sent to one that was draining.
+     */
     @Test
-    void ofAHostNamedTwiceTheLatestProcessCountsAndOfOneProcessTheWordThatAllowsLeast() {
+    void forAHostNamedTwiceTheLatestProcessPrevailsAndThenTheMostRestrictiveStatus() {
         for (boolean whole : new boolean[] {false, true}) {
             for (List<HostUpdate.Entry> twice : List.of(
                     List.of(entry("s-1", Status.DRAINING, 0), entry("s-1", Status.READY, 0)),
                     List.of(entry("s-1", Status.READY, 0), entry("s-1", Status.DRAINING, 0)),
                     List.of(entry("s-1", Status.DRAINING, 7), entry("s-1", Status.READY, 5)))) {
-                List<Balancer.Upstream> told = directory.apply(new HostUpdate(1, whole, twice), NOW_MS);
-                assertEquals(1, told.size());
-                assertEquals(Status.DRAINING, told.get(0).status(), twice.toString());
-                assertFalse(directory.node(told.get(0).id()).ready);
+                List<Balancer.Upstream> applied = directory.apply(new HostUpdate(1, whole, twice), NOW_MS);
+                assertEquals(1, applied.size());
+                assertEquals(Status.DRAINING, applied.get(0).status(), twice.toString());
+                assertFalse(directory.node(applied.get(0).id()).ready);
             }
             for (List<HostUpdate.Entry> twice : List.of(
                     List.of(entry("s-1", Status.GONE, 0), entry("s-1", Status.READY, 9)),
                     List.of(entry("s-1", Status.READY, 9), entry("s-1", Status.GONE, 0)))) {
-                List<Balancer.Upstream> told = directory.apply(new HostUpdate(2, whole, twice), NOW_MS);
-                assertEquals(Status.READY, told.get(0).status(), twice.toString());
-                assertTrue(directory.node(told.get(0).id()).ready, "the module and this know the same");
+                List<Balancer.Upstream> applied = directory.apply(new HostUpdate(2, whole, twice), NOW_MS);
+                assertEquals(Status.READY, applied.get(0).status(), twice.toString());
+                assertTrue(directory.node(applied.get(0).id()).ready, "the decision module and the directory agree");
             }
             List<Balancer.Upstream> gone = directory.apply(
                     new HostUpdate(3, whole, List.of(entry("s-1", Status.GONE, 9), entry("s-1", Status.READY, 9))),
@@ -92,13 +95,13 @@
         }
     }
 
-    /** What is written to a process that is no more ends as a reset of a request that may have run. */
+    /** A request written to a process that has ended fails with a reset, after which it may have run. */
     @Test
-    void whatLeadsToTheProcessBeforeIsRetiredWhenANodeComesBackUnderItsNameAndAddress() {
+    void connectionsToThePreviousProcessAreRetiredWhenANodeRestartsUnderItsNameAndAddress() {
         directory.apply(new HostUpdate(1, true, List.of(entry("s-1", Status.READY, 5))), NOW_MS);
         retired.clear();
         directory.apply(new HostUpdate(2, false, List.of(entry("s-1", Status.READY, 5))), NOW_MS);
-        assertTrue(retired.isEmpty(), "it is the same");
+        assertTrue(retired.isEmpty(), "the process is the same");
         directory.apply(new HostUpdate(3, false, List.of(entry("s-1", Status.READY, 9))), NOW_MS);
         assertEquals(1, retired.size());
     }
--- a/src/test/java/ivybank/discovery/DiscoveryTest.java
+++ b/src/test/java/ivybank/discovery/DiscoveryTest.java
@@ -21,18 +21,18 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a sidecar that starts again asks of one discovery for all. */
+/** Tests what a restarted sidecar requests from a discovery service shared by all sidecars. */
 class DiscoveryTest {
 
     private static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String NOTHING = "{\"seq\":%d,\"whole\":false,\"hosts\":[]}\n";
+    private static final String NO_CHANGES = "{\"seq\":%d,\"whole\":false,\"hosts\":[]}\n";
     private static final String LIST =
             "{\"seq\":%d,\"whole\":true,\"hosts\":[{\"host\":\"b\",\"dial\":\"127.0.0.1:1\",\"health\":\"Ready\"}]}\n";
     private static final HostUpdate KNOWN =
             new HostUpdate(41, true, List.of(new HostUpdate.Entry("a", null, Status.READY, 0, "", "", 0, 1)));
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final BlockingQueue<HostUpdate> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<HostUpdate> received = new LinkedBlockingQueue<>();
     private FakeServer server;
 
     @AfterEach
@@ -50,7 +50,7 @@
                         () -> null,
                         from,
                         Timing.standard(true, 500),
-                        heard::add,
+                        received::add,
                         clock,
                         new Log(new PrintStream(OutputStream.nullOutputStream()), clock))
                 .start();
@@ -65,37 +65,37 @@
     }
 
     @Test
-    void aKnownListIsGoneOnFromInOneCall() throws Exception {
+    void aKnownListIsResumedWithOneCall() throws Exception {
         server = new FakeServer(connection -> {
             connection.read();
-            connection.write(WATCH + chunk(NOTHING.formatted(43)));
+            connection.write(WATCH + chunk(NO_CHANGES.formatted(43)));
             connection.read();
         });
         follow(KNOWN.resumeFrom(true));
         assertTrue(server.nextRequest().startsWith("GET /registry/instances?stream=1&index=41 "));
-        assertEquals(43, heard.poll(5, TimeUnit.SECONDS).seq());
-        assertTrue(server.requests.isEmpty(), "one call is all it costs");
+        assertEquals(43, received.poll(5, TimeUnit.SECONDS).seq());
+        assertTrue(server.requests.isEmpty(), "one call is enough");
     }
 
     @Test
-    void aWholeListThatAnswersTheWatchIsTaken() throws Exception {
+    void aWholeListInAnswerToAWatchIsApplied() throws Exception {
         server = new FakeServer(connection -> {
             connection.read();
             connection.write(WATCH + chunk(LIST.formatted(7)));
             connection.read();
         });
         follow(41);
-        HostUpdate update = heard.poll(5, TimeUnit.SECONDS);
+        HostUpdate update = received.poll(5, TimeUnit.SECONDS);
         assertTrue(update.whole());
         assertEquals(7, update.seq());
     }
 
     @Test
-    void aDiscoveryThatIsBehindTheKnownListIsAskedForItsOwn() throws Exception {
+    void aDiscoveryThatIsBehindTheKnownListIsCalledForItsOwn() throws Exception {
         server = new FakeServer(connection -> {
-            for (String asked = connection.read(); asked != null; asked = connection.read()) {
-                if (asked.contains("stream=1")) {
-                    connection.write(WATCH + chunk(NOTHING.formatted(3)));
+            for (String request = connection.read(); request != null; request = connection.read()) {
+                if (request.contains("stream=1")) {
+                    connection.write(WATCH + chunk(NO_CHANGES.formatted(3)));
                 } else {
                     list(connection, LIST.formatted(3));
                 }
@@ -104,16 +104,17 @@
         follow(41);
         assertTrue(server.nextRequest().contains("index=41 "));
         assertTrue(server.nextRequest().startsWith("GET /registry/instances HTTP/1.1"));
-        assertEquals(3, heard.poll(5, TimeUnit.SECONDS).seq());
+        assertEquals(3, received.poll(5, TimeUnit.SECONDS).seq());
         assertTrue(server.nextRequest().contains("index=3 "));
     }
 
     @Test
-    void whereNothingIsKnownOrNobodyWaitsInTurnTheWholeListComesFirst() throws Exception {
+    void withoutAKnownListOrASharedServiceTheWholeListIsRequestedFirst() throws Exception {
         assertEquals(41, KNOWN.resumeFrom(true));
         assertEquals(-1, KNOWN.resumeFrom(false));
         assertEquals(-1, HostUpdate.EMPTY.resumeFrom(true));
-        assertEquals(-1, new HostUpdate(41, false, KNOWN.entries()).resumeFrom(true), "a part of a list is no list");
+        assertEquals(
+                -1, new HostUpdate(41, false, KNOWN.entries()).resumeFrom(true), "a partial list can't be resumed");
         server = new FakeServer(connection -> connection.read());
         follow(HostUpdate.EMPTY.resumeFrom(true));
         assertTrue(server.nextRequest().startsWith("GET /registry/instances HTTP/1.1"));
--- a/src/test/java/ivybank/discovery/DiscoveryTimesTest.java
+++ b/src/test/java/ivybank/discovery/DiscoveryTimesTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How soon a sidecar knows what discovery has to tell, in the worst draw of each pause, on a set clock and real sockets. */
+/** Tests how soon updates arrive, with the longest draw of each pause, on a simulated clock and real sockets. */
 @Timeout(60)
 class DiscoveryTimesTest {
 
@@ -31,9 +31,9 @@
             "{\"seq\":%d,\"whole\":true,\"hosts\":[{\"host\":\"b\",\"dial\":\"127.0.0.1:1\",\"health\":\"%s\"}]}";
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final List<HostUpdate> heard = new ArrayList<>();
-    private final List<String> asked = new ArrayList<>();
-    private double heardMs = Double.NaN;
+    private final List<HostUpdate> received = new ArrayList<>();
+    private final List<String> requests = new ArrayList<>();
+    private double receivedMs = Double.NaN;
     private int seq = 7;
     private boolean down;
     private SetClockAgent agent;
@@ -51,7 +51,7 @@
 
     private Discovery follow(SetClockAgent.Answers answers, Timing timing) throws IOException {
         agent = new SetClockAgent((call, head) -> {
-            asked.add(head.substring(0, head.indexOf(" HTTP")));
+            requests.add(head.substring(0, head.indexOf(" HTTP")));
             answers.called(call, head);
         });
         Clock clock = new Clock(0, () -> (long) (agent.nowMs() * 1e6));
@@ -64,8 +64,8 @@
                 timing,
                 () -> 1,
                 update -> {
-                    heard.add(update);
-                    heardMs = agent.nowMs();
+                    received.add(update);
+                    receivedMs = agent.nowMs();
                 },
                 clock,
                 new Log(new PrintStream(log, true), clock));
@@ -74,10 +74,10 @@
         return discovery;
     }
 
-    /** A discovery that answers calls while it is up, and whose watches fall silent after their first line. */
+    /** Answers calls while discovery is up; watches fall silent after their first line. */
     private void answer(SetClockAgent.Call call, String head) throws IOException {
         if (down) {
-            return; // the call hangs, also when discovery is back
+            return; // the call hangs, even after discovery is back
         }
         if (head.contains("stream=1")) {
             call.watch();
@@ -88,28 +88,28 @@
     }
 
     @Test
-    void theSumsFitThePagesClock() {
+    void theSumsOfTheTimeoutsFitTheReportLimits() {
         for (double graceMs : new double[] {50, 200, 350, 500, 1500, 5000}) {
             Timing pushed = Timing.standard(false, graceMs);
-            assertTrue(pushed.silenceEndsMs() + pushed.firstAnswerMs() < Timing.SILENCE_COUNTS_MS, pushed.toString());
-            assertTrue(graceMs < 200 || pushed.returnMs() <= 0.6 * graceMs, pushed.toString());
+            assertTrue(pushed.maxSilenceMs() + pushed.firstAnswerMs() < Timing.SILENCE_LIMIT_MS, pushed.toString());
+            assertTrue(graceMs < 200 || pushed.maxCallAfterOutageMs() <= 0.6 * graceMs, pushed.toString());
             Timing asked = Timing.standard(true, graceMs);
             assertEquals(Timing.standard(true, 500), asked);
-            // Those that wait have 2 s more from the end of their wait.
-            assertTrue(asked.longestPauseMs() < Timing.WAIT_COUNTS_MS, asked.toString());
+            // Calls that queue have 2 s more from the end of their wait.
+            assertTrue(asked.longestPauseMs() < Timing.QUEUED_CALL_REPORT_LIMIT_MS, asked.toString());
             for (Timing each : List.of(pushed, asked)) {
-                assertTrue(each.toldAfterFailedCallMs() < Timing.TOLD_AFTER_FAILED_CALL_MS, each.toString());
+                assertTrue(each.maxReportAfterFailureMs() < Timing.FAILURE_REPORT_LIMIT_MS, each.toString());
             }
-            assertTrue(asked.silenceEndsMs() < Timing.SILENCE_COUNTS_MS, asked.toString());
+            assertTrue(asked.maxSilenceMs() < Timing.SILENCE_LIMIT_MS, asked.toString());
         }
     }
 
-    /** What becomes of the calls while discovery is down, and of the one at hand when it comes back. */
+    /** The fate of calls that start while discovery is down, including the one under way when it comes back. */
     private enum Failure {
         HANGS,
         ENDS_WITH_503,
         IS_RESET,
-        ENDS_WITHOUT_A_WORD
+        ENDS_WITHOUT_DATA
     }
 
     private void fail(SetClockAgent.Call call, String head, Failure failure) throws IOException {
@@ -117,7 +117,7 @@
             case HANGS -> {}
             case ENDS_WITH_503 -> call.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             case IS_RESET -> call.close();
-            case ENDS_WITHOUT_A_WORD -> {
+            case ENDS_WITHOUT_DATA -> {
                 if (head.contains("stream=1")) {
                     call.watch();
                     call.write("0\r\n\r\n");
@@ -129,32 +129,32 @@
     }
 
     /**
-     * The worst moment for discovery to come back: a call has just begun that still fails, after the longest pause. Connections
-     * come up at once here; what they may take is added.
+     * Discovery comes back right after the start of a call that still fails, after the longest pause. Connections come up at once
+     * here, so their timeout is added.
      */
     @ParameterizedTest
     @CsvSource({"false, 200", "false, 500", "false, 60000", "true, 500"})
-    void whateverBecomesOfACallAChangeIsToldInTime(boolean service, double graceMs) throws Exception {
-        Timing timing = Timing.standard(service, graceMs);
-        double waitMs = service ? timing.longestWaitMs() : 0;
+    void aChangeIsReportedInTimeWhateverBecomesOfEarlierCalls(boolean shared, double graceMs) throws Exception {
+        Timing timing = Timing.standard(shared, graceMs);
+        double waitMs = shared ? timing.maxAnswerWaitMs() : 0;
         for (Failure failure : Failure.values()) {
-            List<Double> begun = new ArrayList<>();
+            List<Double> callStarts = new ArrayList<>();
             SortedMap<Double, Answer> due = new TreeMap<>();
-            followThroughFailures(failure, timing, waitMs, begun, due);
-            assertToldInTimeAfterFailures(failure, timing, begun, due);
+            followThroughFailures(failure, timing, waitMs, callStarts, due);
+            assertReportedInTimeAfterFailures(failure, timing, callStarts, due);
         }
     }
 
-    /** Follows an agent whose calls fail in this way while it is down; notes when each began, and what is still to be answered. */
+    /** Follows an agent whose calls fail while it is down; records call starts and the answers still due. */
     private void followThroughFailures(
-            Failure failure, Timing timing, double waitMs, List<Double> begun, SortedMap<Double, Answer> due)
+            Failure failure, Timing timing, double waitMs, List<Double> callStarts, SortedMap<Double, Answer> due)
             throws Exception {
-        heard.clear();
+        received.clear();
         seq = 7;
         down = false;
         follow(
                 (call, head) -> {
-                    begun.add(agent.nowMs());
+                    callStarts.add(agent.nowMs());
                     boolean fails = down;
                     Answer answer = () -> {
                         if (fails) {
@@ -163,7 +163,7 @@
                             answer(call, head);
                         }
                     };
-                    if (waitMs == 0 || begun.size() <= 2) {
+                    if (waitMs == 0 || callStarts.size() <= 2) {
                         answer.give();
                     } else {
                         due.put(agent.nowMs() + waitMs, answer);
@@ -172,29 +172,29 @@
                 timing);
     }
 
-    private void assertToldInTimeAfterFailures(
-            Failure failure, Timing timing, List<Double> begun, SortedMap<Double, Answer> due) throws Exception {
+    private void assertReportedInTimeAfterFailures(
+            Failure failure, Timing timing, List<Double> callStarts, SortedMap<Double, Answer> due) throws Exception {
         down = true;
         agent.calls.get(agent.calls.size() - 1).close();
-        for (int calls = 0; calls < 10; calls = begun.size()) {
+        for (int calls = 0; calls < 10; calls = callStarts.size()) {
             step(due);
         }
-        int before = begun.size();
-        while (begun.size() == before) {
+        int before = callStarts.size();
+        while (callStarts.size() == before) {
             step(due);
         }
-        double pauseMs = begun.get(before) - begun.get(before - 1);
-        assertTrue(pauseMs >= timing.longestPauseMs(), "its pauses have grown");
+        double pauseMs = callStarts.get(before) - callStarts.get(before - 1);
+        assertTrue(pauseMs >= timing.longestPauseMs(), "the pauses have grown to their maximum");
         seq = 8;
         down = false;
         double backMs = agent.nowMs();
-        while (heard.size() < 2 && agent.nowMs() - backMs < 2 * Timing.TOLD_AFTER_FAILED_CALL_MS) {
+        while (received.size() < 2 && agent.nowMs() - backMs < 2 * Timing.FAILURE_REPORT_LIMIT_MS) {
             step(due);
         }
-        double tookMs = heardMs - backMs + 2 * timing.connectMs();
-        assertEquals(8, heard.get(heard.size() - 1).seq(), failure.toString());
-        assertTrue(tookMs <= timing.toldAfterFailedCallMs() + 10, failure + ": " + tookMs + " of " + timing);
-        assertTrue(tookMs < Timing.TOLD_AFTER_FAILED_CALL_MS, failure + ": " + tookMs + " ms");
+        double tookMs = receivedMs - backMs + 2 * timing.connectMs();
+        assertEquals(8, received.get(received.size() - 1).seq(), failure.toString());
+        assertTrue(tookMs <= timing.maxReportAfterFailureMs() + 10, failure + ": " + tookMs + " of " + timing);
+        assertTrue(tookMs < Timing.FAILURE_REPORT_LIMIT_MS, failure + ": " + tookMs + " ms");
         agent.close();
     }
 
@@ -211,47 +211,48 @@
     }
 
     @Test
-    void whatASilentWatchMissesIsAskedForInTime() throws Exception {
+    void whatASilentWatchMissesIsRequestedInTime() throws Exception {
         Timing timing = Timing.standard(false, 500);
         follow(this::answer, timing);
-        assertEquals(1, heard.size());
-        seq = 8; // from now on the watch is silent, and this is missed
-        agent.advance(timing.silenceEndsMs() - timing.connectMs() + 10);
-        assertEquals(2, heard.size());
-        assertTrue(heardMs < Timing.SILENCE_COUNTS_MS, "after " + heardMs);
-        assertEquals("GET /registry/instances", asked.get(2), "the whole list, which tells at once");
+        assertEquals(1, received.size());
+        seq = 8; // the watch is silent from now on, so this update is missed
+        agent.advance(timing.maxSilenceMs() - timing.connectMs() + 10);
+        assertEquals(2, received.size());
+        assertTrue(receivedMs < Timing.SILENCE_LIMIT_MS, "after " + receivedMs);
+        assertEquals("GET /registry/instances", requests.get(2), "the whole list, which reports the change at once");
     }
 
     @Test
-    void alsoWhereTheNextWatchIsSilentAsWell() throws Exception {
-        for (boolean service : new boolean[] {false, true}) {
-            asked.clear();
-            heard.clear();
+    void missedChangesAreRequestedInTimeWhereTheNextWatchIsSilentAsWell() throws Exception {
+        for (boolean shared : new boolean[] {false, true}) {
+            requests.clear();
+            received.clear();
             seq = 7;
-            Timing timing = Timing.standard(service, 500);
+            Timing timing = Timing.standard(shared, 500);
             follow(
                     (call, head) -> {
                         if (head.contains("stream=1")) {
-                            call.watch(); // and nothing more, whatever there is to tell
+                            call.watch(); // no data follows, whatever changes
                         } else {
                             answer(call, head);
                         }
                     },
                     timing);
-            double fromMs = agent.nowMs();
+            double startMs = agent.nowMs();
             seq = 8;
             agent.advance(6000);
-            assertEquals(8, heard.get(1).seq());
+            assertEquals(8, received.get(1).seq());
             assertTrue(
-                    heardMs - fromMs <= timing.silenceEndsMs() + 10 && heardMs - fromMs < Timing.SILENCE_COUNTS_MS,
-                    service + ": after " + heardMs);
+                    receivedMs - startMs <= timing.maxSilenceMs() + 10
+                            && receivedMs - startMs < Timing.SILENCE_LIMIT_MS,
+                    shared + ": after " + receivedMs);
             agent.close();
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {" ", "{\"seq\":8,", "\t", "  {"})
-    void bytesThatTellNothingAreNoSignOfLife(String begin) throws Exception {
+    void incompleteDataIsNoSignOfLife(String begin) throws Exception {
         Timing timing = Timing.standard(false, 500);
         follow(this::answer, timing);
         SetClockAgent.Call watch = agent.calls.get(0);
@@ -259,15 +260,15 @@
         watch.piece(begin);
         for (int i = 0; i < 30 && watch.open(); i++) {
             agent.advance(200);
-            watch.piece(begin.startsWith("{") ? "\n" : " "); // never a line, never whole
+            watch.piece(begin.startsWith("{") ? "\n" : " "); // never a line, never a complete value
         }
-        assertEquals(8, heard.get(heard.size() - 1).seq());
-        assertTrue(heardMs <= timing.silenceEndsMs() + 10, "after " + heardMs);
+        assertEquals(8, received.get(received.size() - 1).seq());
+        assertTrue(receivedMs <= timing.maxSilenceMs() + 10, "after " + receivedMs);
     }
 
     @Test
-    void emptyLinesAreAndEndThePausesThatHaveGrown() throws Exception {
-        Timing timing = Timing.standard(true, 500); // its pauses grow long
+    void emptyLinesAreASignOfLifeAndResetThePause() throws Exception {
+        Timing timing = Timing.standard(true, 500); // its pauses grow longest
         follow(this::answer, timing);
         down = true;
         agent.calls.get(0).close();
@@ -288,43 +289,42 @@
         int before = agent.calls.size();
         watch.close();
         agent.advance(60);
-        assertEquals(
-                before + 1,
-                agent.calls.size(),
-                "begun anew after the first pause, as after any break of what was well");
+        assertEquals(before + 1, agent.calls.size(), "called again after the initial pause");
     }
 
-    /** What the agent gets when discovery is back counts at once, and drains have their grace and no more. */
+    /**
+     * What the agent receives when discovery is back counts as reported at once, and drains have no more than their grace.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {350, 500, 1500})
-    void afterAnOutageTheListComesWithinADrainsGrace(double graceMs) throws Exception {
+    void afterAnOutageTheListArrivesWithinTheGraceOfADrain(double graceMs) throws Exception {
         Timing timing = Timing.standard(false, graceMs);
         double worstMs = 0;
-        for (int phase = 0; phase < timing.returnMs(); phase += 35) {
-            asked.clear();
-            heard.clear();
+        for (int phase = 0; phase < timing.maxCallAfterOutageMs(); phase += 35) {
+            requests.clear();
+            received.clear();
             down = false;
             seq = 7;
             follow(this::answer, timing);
             down = true;
             agent.calls.get(0).close();
             agent.advance(8000 + phase);
-            int hanging = heard.size();
+            int hanging = received.size();
             assertEquals(1, hanging);
             seq = 8;
             down = false;
             double backMs = agent.nowMs();
             agent.advance(graceMs);
-            assertEquals(2, heard.size(), "within the grace, at phase " + phase);
-            worstMs = Math.max(worstMs, heardMs - backMs);
+            assertEquals(2, received.size(), "within the grace, at phase " + phase);
+            worstMs = Math.max(worstMs, receivedMs - backMs);
             agent.close();
         }
-        assertTrue(worstMs <= timing.returnMs() + 10, worstMs + " of " + timing.returnMs());
-        assertTrue(worstMs <= 0.65 * graceMs, "the rest is for the list: " + worstMs);
+        assertTrue(worstMs <= timing.maxCallAfterOutageMs() + 10, worstMs + " of " + timing.maxCallAfterOutageMs());
+        assertTrue(worstMs <= 0.65 * graceMs, "the rest is left for the list: " + worstMs);
     }
 
     @Test
-    void aListMayComeIndentedAndCutAnywhere() throws Exception {
+    void aListMayArriveIndentedAndSplitAnywhere() throws Exception {
         follow(this::answer, Timing.standard(false, 500));
         SetClockAgent.Call watch = agent.calls.get(0);
         String indented =
@@ -336,25 +336,25 @@
             agent.settle();
             watch.piece(next.substring(cut));
             agent.settle();
-            assertEquals(100 + cut, heard.get(heard.size() - 1).seq(), "cut at " + cut);
+            assertEquals(100 + cut, received.get(received.size() - 1).seq(), "cut at " + cut);
         }
         watch.piece(indented.formatted(900) + indented.formatted(901)
                 + "{\"seq\":902,\"hosts\":[]}{\"seq\":903,\"hosts\":[]}");
         agent.settle();
-        assertEquals(903, heard.get(heard.size() - 1).seq(), "several in one piece, also with nothing between them");
+        assertEquals(903, received.get(received.size() - 1).seq(), "several values in one piece, with no separator");
         assertTrue(watch.open());
-        assertEquals(2, asked.size(), "one list and one watch are all that was asked");
+        assertEquals(2, requests.size(), "only one list and one watch were requested");
     }
 
     @Test
-    void whatCanNotBeReadIsOneLineWithItsPlaceAndTheWholeListIsAskedForAgain() throws Exception {
+    void malformedDataIsLoggedOnceWithItsOffsetAndTheWholeListIsRequestedAgain() throws Exception {
         follow(this::answer, Timing.standard(false, 500));
         SetClockAgent.Call watch = agent.calls.get(0);
         watch.piece("{\"seq\":8,\"whole\":false,\"hosts\":[}\n");
         agent.settle();
         assertFalse(watch.open());
         agent.advance(60);
-        assertEquals("GET /registry/instances", asked.get(2));
+        assertEquals("GET /registry/instances", requests.get(2));
         String line = log.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(each -> each.contains("can't be read"))
@@ -367,34 +367,34 @@
     }
 
     @Test
-    void aWholeListThatIsOlderIsTakenAsOneFromElsewhere() throws Exception {
+    void anOlderWholeListIsHandledAsOneFromElsewhere() throws Exception {
         follow(this::answer, Timing.standard(false, 500));
         SetClockAgent.Call watch = agent.calls.get(0);
         watch.piece("{\"seq\":12,\"whole\":false,\"hosts\":[]}\n");
         agent.settle();
         watch.piece("oops");
-        agent.advance(60); // and the list on the new call is still that of version 7
-        HostUpdate older = heard.get(heard.size() - 1);
+        agent.advance(60); // the list on the new call is still that of version 7
+        HostUpdate older = received.get(received.size() - 1);
         assertEquals(7, older.seq());
-        assertTrue(older.fromElsewhere(), "what it says of the same process undoes no drain");
+        assertTrue(older.fromElsewhere(), "it must not undo a drain of the same process");
         SetClockAgent.Call second = agent.calls.get(1);
         second.piece(list(5, "Ready"));
         agent.settle();
-        assertTrue(heard.get(heard.size() - 1).fromElsewhere(), "also within one watch");
+        assertTrue(received.get(received.size() - 1).fromElsewhere(), "also within one watch");
     }
 
     @Test
-    void theFirstWordIsToldOnceWithTheListOrWithTheEndOfTheFirstCall() throws Exception {
-        int[] told = {0};
+    void firstCallCompletedIsReportedOnceWithTheListOrTheEndOfTheFirstCall() throws Exception {
+        int[] calls = {0};
         down = true;
-        follow(this::answer, Timing.standard(false, 500)).onFirstCallCompleted(() -> told[0]++);
+        follow(this::answer, Timing.standard(false, 500)).onFirstCallCompleted(() -> calls[0]++);
         agent.advance(100);
-        assertEquals(0, told[0], "the agent is asked, and may answer yet");
+        assertEquals(0, calls[0], "the agent has been called and may still answer");
         agent.advance(100);
-        assertEquals(1, told[0], "it is seen not to answer");
+        assertEquals(1, calls[0], "it has not answered in time");
         down = false;
         agent.advance(1000);
-        assertEquals(1, told[0]);
-        assertEquals(1, heard.size());
+        assertEquals(1, calls[0]);
+        assertEquals(1, received.size());
     }
 }
--- a/src/test/java/ivybank/discovery/OutNodesTest.java
+++ b/src/test/java/ivybank/discovery/OutNodesTest.java
@@ -12,15 +12,17 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the module is told of nodes that operators take out, over all that discovery says meanwhile. */
+/**
+ * Tests the entries that the decision module receives for nodes that operators take out of service, whatever discovery says.
+ */
 class OutNodesTest {
 
     private static final double NOW_MS = 10_000;
-    private static final Map<String, Double> OUT = Map.of("a", 1000.0);
+    private static final Map<String, Double> OUT_OF_SERVICE = Map.of("a", 1000.0);
 
     private final Directory directory = new Directory(List.of("z"), List.of("k"), node -> {});
 
-    private List<Upstream> says(boolean whole, String host, Status status, double bornMs) {
+    private List<Upstream> update(boolean whole, String host, Status status, double bornMs) {
         return directory.apply(
                 new HostUpdate(
                         1,
@@ -31,37 +33,42 @@
     }
 
     @Test
-    void itKeepsItsNumberThroughARestartAndComesBackWithItsTrueStart() {
-        Upstream ready = says(false, "a", Status.READY, 0).get(0);
-        assertEquals(List.of(new Upstream(ready.id(), Status.DRAINING, 0, 0, 0, 0, 1)), directory.takeOut(OUT, 1000));
+    void aNodeKeepsItsNumberThroughARestartAndReturnsWithItsActualStart() {
+        Upstream ready = update(false, "a", Status.READY, 0).get(0);
+        assertEquals(
+                List.of(new Upstream(ready.id(), Status.DRAINING, 0, 0, 0, 0, 1)),
+                directory.takeOut(OUT_OF_SERVICE, 1000));
         assertFalse(directory.node(ready.id()).ready);
-        assertEquals(Status.DRAINING, says(false, "a", Status.GONE, 0).get(0).status());
+        assertEquals(Status.DRAINING, update(false, "a", Status.GONE, 0).get(0).status());
         assertEquals(
-                Status.DRAINING, says(false, "a", Status.READY, 3000).get(0).status());
-        assertEquals(List.of(), directory.takeOut(OUT, 4000), "out already");
+                Status.DRAINING, update(false, "a", Status.READY, 3000).get(0).status());
+        assertEquals(List.of(), directory.takeOut(OUT_OF_SERVICE, 4000), "already out of service");
         assertEquals(
                 List.of(new Upstream(ready.id(), Status.READY, 3000, 0, 0, 0, 1)), directory.takeOut(Map.of(), 5000));
         assertTrue(directory.node(ready.id()).ready);
     }
 
     @Test
-    void calledBackBeforeTheListKnowsOfItsRestartItCountsAsJustStarted() {
-        says(false, "a", Status.READY, 0);
-        directory.takeOut(OUT, 1000);
+    void aNodeThatReturnsBeforeItsRestartIsListedCountsAsJustStarted() {
+        update(false, "a", Status.READY, 0);
+        directory.takeOut(OUT_OF_SERVICE, 1000);
         assertEquals(5000, directory.takeOut(Map.of(), 5000).get(0).startedMs());
-        assertEquals(5000, says(false, "a", Status.READY, 0).get(0).startedMs(), "the list is late, not right");
-        assertEquals(5000, says(false, "a", Status.READY, 4000).get(0).startedMs(), "no second start a second earlier");
-        assertEquals(9000, says(false, "a", Status.READY, 9000).get(0).startedMs());
+        assertEquals(5000, update(false, "a", Status.READY, 0).get(0).startedMs(), "the list lags behind");
+        assertEquals(
+                5000,
+                update(false, "a", Status.READY, 4000).get(0).startedMs(),
+                "the same start, reported as a second earlier");
+        assertEquals(9000, update(false, "a", Status.READY, 9000).get(0).startedMs());
     }
 
     @Test
-    void oneThatTheListHasDroppedIsGoneWhenItIsCalledBack() {
-        int id = says(false, "a", Status.READY, 0).get(0).id();
-        directory.takeOut(OUT, 1000);
-        List<Upstream> told = says(true, "b", Status.READY, 0);
+    void aNodeThatTheListHasDroppedIsGoneOnItsReturn() {
+        int id = update(false, "a", Status.READY, 0).get(0).id();
+        directory.takeOut(OUT_OF_SERVICE, 1000);
+        List<Upstream> applied = update(true, "b", Status.READY, 0);
         assertEquals(
                 List.of(Status.READY, Status.DRAINING),
-                told.stream().map(Upstream::status).toList());
+                applied.stream().map(Upstream::status).toList());
         assertTrue(directory.contains("a"));
         assertEquals(Status.GONE, directory.takeOut(Map.of(), 5000).get(0).status());
         assertNull(directory.node(id));
@@ -69,10 +76,10 @@
     }
 
     @Test
-    void oneThatIsFirstListedWhileItIsOutIsOut() {
-        directory.takeOut(OUT, 1000);
-        Upstream told = says(true, "a", Status.READY, 0).get(0);
-        assertEquals(Status.DRAINING, told.status());
-        assertFalse(directory.node(told.id()).ready);
+    void aNodeThatIsFirstListedWhileOutOfServiceIsOutOfService() {
+        directory.takeOut(OUT_OF_SERVICE, 1000);
+        Upstream listed = update(true, "a", Status.READY, 0).get(0);
+        assertEquals(Status.DRAINING, listed.status());
+        assertFalse(directory.node(listed.id()).ready);
     }
 }
--- a/src/test/java/ivybank/discovery/StartTimesTest.java
+++ b/src/test/java/ivybank/discovery/StartTimesTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When nodes started by this process's clock, which may have been stepped before it was read. */
+/** Tests start times of nodes by the clock of this process, which may have been stepped before it was read. */
 class StartTimesTest {
 
-    /** Unix time as discovery has it, in milliseconds. */
+    /** The actual time, by discovery's clock, in Unix milliseconds. */
     private static final double TRUE_NOW_MS = 1_790_000_000_000.0;
 
     private static final double HOUR_MS = 3_600_000;
@@ -34,55 +34,55 @@
         return entries;
     }
 
-    /** The age that a node has here which is that old. */
-    private double ageHereMs(double ageMs, double nowMs) {
+    /** Returns the age by the local clock of a node that is actually this old. */
+    private double localAgeMs(double ageMs, double nowMs) {
         return nowMs - times.startedMs(TRUE_NOW_MS - ageMs, nowMs);
     }
 
     @Test
-    void aClockThatNothingContradictsIsBelieved() {
+    void aClockThatNothingContradictsIsTrusted() {
         times.observe(entries(-1, 5000, 20_000, 200_000), false, TRUE_NOW_MS);
-        assertEquals(5000, ageHereMs(5000, TRUE_NOW_MS));
-        assertEquals(200_000, ageHereMs(200_000, TRUE_NOW_MS));
+        assertEquals(5000, localAgeMs(5000, TRUE_NOW_MS));
+        assertEquals(200_000, localAgeMs(200_000, TRUE_NOW_MS));
         assertEquals(0, times.startedMs(0, TRUE_NOW_MS), "long ago");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {HOUR_MS, -HOUR_MS, 3 * HOUR_MS, -600_000})
-    void aStartThatIsToldAsAChangeHasJustBeen(double aheadMs) {
+    void aStartReportedAsAChangeIsRecent(double aheadMs) {
         double nowMs = TRUE_NOW_MS + aheadMs;
         times.observe(entries(-1, -1, -1), false, nowMs);
         times.observe(entries(1500), true, nowMs);
-        assertEquals(0, ageHereMs(1500, nowMs));
+        assertEquals(0, localAgeMs(1500, nowMs));
         assertEquals(0, times.startedMs(0, nowMs), "long ago");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {HOUR_MS, -HOUR_MS})
-    void theNewestOfAWholeListCountAsJustStartedAndTheOthersByWhatLiesBetween(double aheadMs) {
+    void theNewestNodesOfAWholeListCountAsJustStartedAndTheOthersRelativeToThem(double aheadMs) {
         double nowMs = TRUE_NOW_MS + aheadMs;
         times.observe(entries(-1, -1, -1, 4000, 9000, -1), false, nowMs);
-        assertEquals(0, ageHereMs(4000, nowMs));
-        assertEquals(5000, ageHereMs(9000, nowMs));
+        assertEquals(0, localAgeMs(4000, nowMs));
+        assertEquals(5000, localAgeMs(9000, nowMs));
     }
 
     @Test
-    void whereAllStartedTogetherLongAgoTheClockIsBelieved() {
+    void whereAllNodesStartedTogetherLongAgoTheClockIsTrusted() {
         times.observe(entries(HOUR_MS, HOUR_MS + 3000, HOUR_MS + 9000), false, TRUE_NOW_MS);
-        assertEquals(HOUR_MS, ageHereMs(HOUR_MS, TRUE_NOW_MS));
+        assertEquals(HOUR_MS, localAgeMs(HOUR_MS, TRUE_NOW_MS));
     }
 
     @Test
-    void aChangeThatFitsTheClockTakesBackWhatAnOldListMadeDoubtful() {
+    void aChangeThatFitsTheClockRevertsTheCorrectionOfAnOldList() {
         times.observe(entries(HOUR_MS, -1, -1, -1), false, TRUE_NOW_MS);
-        assertEquals(0, ageHereMs(HOUR_MS, TRUE_NOW_MS), "it may have started just now, if the clock is ahead");
+        assertEquals(0, localAgeMs(HOUR_MS, TRUE_NOW_MS), "it may have started just now, if the clock is ahead");
         times.observe(entries(2000), true, TRUE_NOW_MS);
-        assertEquals(2000, ageHereMs(2000, TRUE_NOW_MS));
-        assertEquals(HOUR_MS, ageHereMs(HOUR_MS, TRUE_NOW_MS));
+        assertEquals(2000, localAgeMs(2000, TRUE_NOW_MS));
+        assertEquals(HOUR_MS, localAgeMs(HOUR_MS, TRUE_NOW_MS));
     }
 
     @Test
-    void noStartLiesInTheFuture() {
+    void noStartIsInTheFuture() {
         times.observe(entries(-1), false, TRUE_NOW_MS);
         assertEquals(TRUE_NOW_MS, times.startedMs(TRUE_NOW_MS + 700, TRUE_NOW_MS));
     }
--- a/src/test/java/ivybank/rehearsal/MutantsTest.java
+++ b/src/test/java/ivybank/rehearsal/MutantsTest.java
@@ -302,7 +302,7 @@
                     List.of("rule crash"),
                     List.of(new Edit(
                             "discovery/DiscoveryCall.java",
-                            "        owner.unreadable(this);",
+                            "        owner.malformed(this);",
                             "        Runtime.getRuntime().halt(3);"))),
             new Mutant(
                     "waits on a silent watch",
@@ -311,9 +311,9 @@
                     List.of(
                             new Edit(
                                     "discovery/DiscoveryCall.java",
-                                    "guard = context.channel().eventLoop().schedule( () -> { guard",
-                                    "guard = mostMs == timing.silenceMs() ? null : context.channel().eventLoop()"
-                                            + ".schedule( () -> { guard"),
+                                    "timeoutTask = context.channel().eventLoop().schedule( () -> { timeoutTask",
+                                    "timeoutTask = timeoutMs == timing.silenceMs() ? null : context.channel().eventLoop()"
+                                            + ".schedule( () -> { timeoutTask"),
                             // The watchdog would begin the next call all the same.
                             new Edit(
                                     "discovery/Discovery.java",
