--- a/src/main/java/ivybank/upstream/ConnectionOpener.java
+++ b/src/main/java/ivybank/upstream/ConnectionOpener.java
@@ -16,16 +16,16 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Opens connections to upstreams, and counts those that are open. All of it runs on one event loop. */
+/** Opens connections to nodes, and counts those that are open. Runs on one event loop. */
 final class ConnectionOpener {
 
-    /** How many connections there may be, and how long one may take to come up. */
+    /** The maximum number of connections, and the timeout within which one must come up. */
     record Limits(int connections, int connectTimeoutMs) {}
 
-    /** Of the connections allowed: so many are never taken by spare ones. */
-    private static final double ROOM_KEPT_PART = 0.25;
-    /** One that has not come up so long after its time, and of which nothing was told, is given up. */
-    private static final double OVERDUE_MS = 500;
+    /** The part of the allowed connections that spare connections never use. */
+    private static final double RESERVED_RATIO = 0.25;
+    /** A connection that has neither come up nor failed this long after its timeout is abandoned. */
+    private static final double MAX_CONNECT_OVERDUE_MS = 500;
 
     private final UpstreamPool pool;
     private final EventLoop loop;
@@ -33,16 +33,16 @@
     private final Descriptors descriptors;
     private final LoadReport reports;
     private final Bootstrap bootstrap;
-    /** How many spare connections each node has. */
+    /** The number of spare connections by node. */
     private final Map<Node, Integer> spares = new HashMap<>();
 
     private Tally tally = Tally.NONE;
-    /** All that are open or coming up: their number is what counts against the limits. */
+    /** The connections that are open or coming up; their number counts against the limits. */
     private final Map<UpstreamConnection, Opening> open = new LinkedHashMap<>();
 
-    private long opened;
+    private long openedCount;
 
-    /** {@code base} says what kind of channels to open, and with which options. */
+    /** Creates an opener; {@code base} defines the type and the options of the channels. */
     ConnectionOpener(
             UpstreamPool pool,
             EventLoop loop,
@@ -58,19 +58,19 @@
         this.bootstrap = base.group(loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limits.connectTimeoutMs());
     }
 
-    /** From now on tells this of what happens to connections. Before the first is begun. */
+    /** Sets the tally that counts connections. Must be called before the first one is opened. */
     void setTally(Tally counts) {
         tally = counts;
     }
 
-    /** How many are open or coming up. */
+    /** Returns the number of connections that are open or coming up. */
     int open() {
         return open.size();
     }
 
-    /** How many have been begun since the start. */
+    /** Returns the number of connections opened since the start. */
     long opened() {
-        return opened;
+        return openedCount;
     }
 
     int spares(Node node) {
@@ -81,18 +81,21 @@
         return open() >= limits.connections() || descriptors.full();
     }
 
-    /** A spare connection must never be the reason why another one can't be opened, here or on the client's side. */
-    boolean hasRoomForSpares() {
-        int kept = (int) (ROOM_KEPT_PART * limits.connections());
-        return open() < limits.connections() - kept && descriptors.room() > kept;
+    /**
+     * Returns whether a spare connection may be opened. It must never be the reason why another connection, to a node or to a
+     * client, cannot be opened.
+     */
+    boolean hasCapacityForSpares() {
+        int reserved = (int) (RESERVED_RATIO * limits.connections());
+        return open() < limits.connections() - reserved && descriptors.room() > reserved;
     }
 
-    /** Opens a connection, and hands it on once it is up; null if it doesn't come up. */
+    /** Opens a connection and passes it to the receiver once it is up, or null if it does not come up. */
     void open(Node node, boolean spare, Consumer<UpstreamConnection> receiver) {
-        AnswerDecoder decoder = new AnswerDecoder();
+        ResponseDecoder decoder = new ResponseDecoder();
         UpstreamConnection connection = new UpstreamConnection(node, spare, decoder, pool, reports);
         Opening opening = new Opening(connection, receiver, pool.nowMs());
-        begun(connection, opening);
+        register(connection, opening);
         Bootstrap connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -102,68 +105,68 @@
         opening.connection = OutboundConnection.open(connecting, loop, node.address, opening);
     }
 
-    /** One connection from its begin to its end. */
+    /** The lifecycle of one connection. */
     private final class Opening implements OutboundConnection.Listener {
         private final UpstreamConnection upstream;
         private final Consumer<UpstreamConnection> receiver;
-        private final double begunMs;
+        private final double startedMs;
         private OutboundConnection connection;
         private boolean up;
 
-        Opening(UpstreamConnection upstream, Consumer<UpstreamConnection> receiver, double begunMs) {
+        Opening(UpstreamConnection upstream, Consumer<UpstreamConnection> receiver, double startedMs) {
             this.upstream = upstream;
             this.receiver = receiver;
-            this.begunMs = begunMs;
+            this.startedMs = startedMs;
         }
 
         @Override
         public void up(Channel channel) {
             up = true;
-            pool.cameUp(upstream, pool.nowMs() - begunMs);
+            pool.connectionEstablished(upstream, pool.nowMs() - startedMs);
             receiver.accept(upstream);
         }
 
         @Override
         public void failed(Throwable cause, boolean local) {
-            ended(upstream);
+            release(upstream);
             tally.connectionFailed(upstream.node.host);
-            pool.notUp(upstream.node, cause, local);
+            pool.connectFailed(upstream.node, cause, local);
             receiver.accept(null);
         }
 
         @Override
         public void closed() {
-            ended(upstream);
+            release(upstream);
         }
 
-        /** Whether its end has come, or should have, and nobody was told. */
+        /** Returns whether the connection has ended, or should have come up, without an event that says so. */
         boolean isLost(double nowMs) {
-            boolean overdue = !up && nowMs - begunMs > limits.connectTimeoutMs() + OVERDUE_MS;
+            boolean overdue = !up && nowMs - startedMs > limits.connectTimeoutMs() + MAX_CONNECT_OVERDUE_MS;
             return overdue || connection != null && connection.hasEndedUntold();
         }
     }
 
-    /** Gives back what connections have taken that have ended without a word. Called now and then. */
+    /** Releases the resources of connections that have ended without an event. To be called periodically. */
     void reconcile() {
         double nowMs = pool.nowMs();
         for (Opening opening : List.copyOf(open.values())) {
             if (opening.isLost(nowMs)) {
-                pool.unaccounted(opening.upstream);
-                opening.connection.abandon("nothing was heard of it");
-                ended(opening.upstream);
+                pool.connectionLost(opening.upstream);
+                opening.connection.abandon("no event reported its end");
+                release(opening.upstream);
             }
         }
     }
 
-    /** Looks after those of which the selector has told nothing yet. Called often. */
+    /** Checks the connections for which the selector has reported no event. To be called often. */
     void verify() {
         List.copyOf(open.keySet()).forEach(UpstreamConnection::verify);
     }
 
-    private void begun(UpstreamConnection connection, Opening opening) {
+    private void register(UpstreamConnection connection, Opening opening) {
         descriptors.take();
         open.put(connection, opening);
-        opened++;
+        openedCount++;
         if (connection.spare) {
             spares.merge(connection.node, 1, Integer::sum);
         }
@@ -171,8 +174,8 @@
         tally.connectionsHeld(connection.node.host, 1);
     }
 
-    /** Gives back what it has taken, once. */
-    private void ended(UpstreamConnection connection) {
+    /** Releases the resources of a connection, once. */
+    private void release(UpstreamConnection connection) {
         if (open.remove(connection) == null) {
             return;
         }
@@ -181,6 +184,6 @@
             spares.computeIfPresent(connection.node, (node, count) -> count == 1 ? null : count - 1);
         }
         tally.connectionsHeld(connection.node.host, -1);
-        pool.ended(connection);
+        pool.connectionClosed(connection);
     }
 }
--- a/src/main/java/ivybank/upstream/ConnectionWait.java
+++ b/src/main/java/ivybank/upstream/ConnectionWait.java
@@ -6,21 +6,21 @@
 import ivybank.upstream.UpstreamAttempt.Ending;
 import java.util.concurrent.TimeUnit;
 
-/** An attempt that waits for a connection that rests, for a new one, or for whichever of the two can be used first. */
+/** The wait of an attempt for a resting connection, a new one, or whichever of the two can be used first. */
 final class ConnectionWait {
 
-    private static final double MICROS_IN_MS = 1000;
+    private static final double MICROS_PER_MS = 1000;
 
     private final UpstreamPool pool;
     private final EventLoop loop;
     private final ConnectionOpener opener;
     private final UpstreamAttempt attempt;
-    /** The connection that rests and is kept for this attempt, else null. */
+    /** The resting connection reserved for this attempt, or null. */
     private UpstreamConnection resting;
 
-    private boolean comingUp;
-    /** Whether the attempt has been sent on, or has ended. */
-    private boolean over;
+    private boolean connecting;
+    /** Whether the attempt has been sent or has ended. */
+    private boolean completed;
 
     ConnectionWait(UpstreamPool pool, EventLoop loop, ConnectionOpener opener, UpstreamAttempt attempt) {
         this.pool = pool;
@@ -29,13 +29,13 @@
         this.attempt = attempt;
     }
 
-    void forRest(UpstreamConnection connection, double restLeftMs) {
+    void awaitRest(UpstreamConnection connection, double restLeftMs) {
         resting = connection;
-        loop.schedule(this::rested, (long) Math.ceil(restLeftMs * MICROS_IN_MS), TimeUnit.MICROSECONDS);
+        loop.schedule(this::rested, (long) Math.ceil(restLeftMs * MICROS_PER_MS), TimeUnit.MICROSECONDS);
     }
 
-    void forNew(boolean spare) {
-        comingUp = true;
+    void awaitNew(boolean spare) {
+        connecting = true;
         opener.open(attempt.node, spare, this::connected);
     }
 
@@ -45,54 +45,58 @@
         }
         UpstreamConnection connection = resting;
         resting = null;
-        if (attempt.ended()) { // its request was called off meanwhile; the next one finds the connection
-            pool.keep(connection);
-        } else if (UpstreamPool.isOfUse(connection)) {
-            over = true;
+        if (attempt.ended()) { // its request was cancelled meanwhile; the next request uses the connection
+            pool.keepIdle(connection);
+        } else if (UpstreamPool.isUsable(connection)) {
+            completed = true;
             attempt.stage = Stage.REST;
             pool.send(connection, attempt);
-        } else { // discovery may have said so
+        } else { // the node has drained or moved meanwhile
             connection.close();
-            lost();
+            connectionUnusable();
         }
     }
 
-    /** @param connection that has come up, or null if it has not */
+    /**
+     * Handles the end of a connect.
+     *
+     * @param connection the new connection, or null if it has not come up
+     */
     private void connected(UpstreamConnection connection) {
-        comingUp = false;
+        connecting = false;
         if (connection == null) {
-            failed();
-        } else if (over || attempt.ended()) {
-            pool.keep(connection); // the next request finds it up
-        } else if (UpstreamPool.leadsToItsNode(connection)) {
-            over = true;
+            connectFailed();
+        } else if (completed || attempt.ended()) {
+            pool.keepIdle(connection); // the next request uses it
+        } else if (UpstreamPool.leadsToNodeAddress(connection)) {
+            completed = true;
             attempt.stage = Stage.CONNECT;
-            handBackResting();
+            returnResting();
             pool.send(connection, attempt);
-        } else { // discovery may have said so while it came up
+        } else { // the node has drained or moved while the connection came up
             connection.close();
-            lost();
+            connectionUnusable();
         }
     }
 
-    private void failed() {
-        if (!over && resting == null) {
-            over = true;
+    private void connectFailed() {
+        if (!completed && resting == null) {
+            completed = true;
             attempt.end(Ending.of(Outcome.CONNECT_FAILED));
         }
     }
 
-    /** One of the connections is of no use any more: goes on with the other one, or begins anew. */
-    private void lost() {
-        if (!over && resting == null && !comingUp) {
-            over = true;
+    /** Handles a connection that can no longer be used: the attempt goes on with the other one, or starts anew. */
+    private void connectionUnusable() {
+        if (!completed && resting == null && !connecting) {
+            completed = true;
             pool.begin(attempt);
         }
     }
 
-    private void handBackResting() {
+    private void returnResting() {
         if (resting != null) {
-            pool.keep(resting);
+            pool.keepIdle(resting);
             resting = null;
         }
     }
--- a/src/main/java/ivybank/upstream/IdleConnections.java
+++ b/src/main/java/ivybank/upstream/IdleConnections.java
@@ -9,7 +9,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 
-/** The connections that carry no request, by node. For use by one thread. */
+/** The connections without a request in flight, by node. For use by one thread. */
 final class IdleConnections {
 
     private static final Comparator<UpstreamConnection> BY_LAST_USE =
@@ -35,15 +35,15 @@
     }
 
     /**
-     * Takes out the connection that was used last of those that have rested, so that what is not needed stays unused and is
-     * closed; else the one that rests since longest; null if none is there.
+     * Removes and returns the most recently used of the connections that have rested, so that surplus ones stay unused and are
+     * closed; otherwise the one that has rested longest; null if there is none.
      */
     UpstreamConnection take(Node node, Predicate<UpstreamConnection> hasRested) {
         List<UpstreamConnection> connections = byNode.get(node);
         if (connections == null) {
             return null;
         }
-        connections.removeIf(connection -> !connection.active()); // their end is about to be told
+        connections.removeIf(connection -> !connection.active()); // their close event is still to come
         UpstreamConnection chosen = connections.stream()
                 .filter(hasRested)
                 .max(BY_LAST_USE)
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Closes those to a node that fit the condition. */
+    /** Closes the connections to a node that match the condition. */
     void closeIf(Node node, Predicate<UpstreamConnection> condition) {
         List<UpstreamConnection> closing = new ArrayList<>(byNode.getOrDefault(node, List.of()));
         closing.removeIf(condition.negate());
@@ -76,7 +76,7 @@
         });
     }
 
-    /** Closes those that have been idle since before an instant, and forgets the nodes that have none left. */
+    /** Closes the connections that have been idle since before this time, and forgets nodes without any. */
     void closeIdleSince(double beforeMs) {
         for (Node node : byNode.keySet().toArray(Node[]::new)) {
             closeIf(node, connection -> connection.idleSinceMs < beforeMs);
@@ -84,7 +84,7 @@
         byNode.values().removeIf(List::isEmpty);
     }
 
-    /** Closes the one that has been idle longest; false if there is none. */
+    /** Closes the connection that has been idle longest; returns false if there is none. */
     boolean closeLongestIdle() {
         UpstreamConnection oldest =
                 byNode.values().stream().flatMap(List::stream).min(BY_LAST_USE).orElse(null);
--- a/src/main/java/ivybank/upstream/LoadReport.java
+++ b/src/main/java/ivybank/upstream/LoadReport.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Reads the load reports in upstreams' answers: {@code TEXT name=value, name=value}. */
+/** Parses the load reports in responses of nodes: {@code TEXT name=value, name=value}. */
 public final class LoadReport {
 
     private static final double[] NONE = {};
-    private static final String FORM = "TEXT ";
+    private static final String PREFIX = "TEXT ";
 
     private final List<String> fields;
 
@@ -16,17 +16,17 @@
     }
 
     /**
-     * The values in the order of the settings' fields; empty unless there is one report that states each of them once,
-     * as a number that a load can be.
+     * Returns the values in the order of the configured fields; empty unless there is exactly one report that states each field
+     * once, as a finite number that is not negative.
      */
     double[] read(List<String> headers) {
-        if (headers.size() != 1 || !headers.get(0).startsWith(FORM)) {
+        if (headers.size() != 1 || !headers.get(0).startsWith(PREFIX)) {
             return NONE;
         }
         double[] values = new double[fields.size()];
         Arrays.fill(values, Double.NaN);
         int found = 0;
-        for (String part : headers.get(0).substring(FORM.length()).split(",")) {
+        for (String part : headers.get(0).substring(PREFIX.length()).split(",")) {
             int equals = part.indexOf('=');
             int field =
                     equals < 0 ? -1 : fields.indexOf(part.substring(0, equals).trim());
--- /dev/null
+++ b/src/main/java/ivybank/upstream/ResponseDecoder.java
@@ -0,0 +1,29 @@
+package ivybank.upstream;
+
+import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.util.AsciiString;
+
+/** A strict version of Netty's response decoder, which also reports input beyond the responses that it has decoded. */
+final class ResponseDecoder extends HttpResponseDecoder {
+
+    /** Returns whether undecoded bytes follow the last response. */
+    boolean hasRemainingInput() {
+        return actualReadableBytes() > 0;
+    }
+
+    /** Rejects a response whose end is ambiguous: Netty would drop the length and go on. */
+    @Override
+    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
+        throw new IllegalArgumentException("the response has both a Content-Length and a Transfer-Encoding");
+    }
+
+    /** Rejects a header line without a colon, which Netty would accept as a field without a value. */
+    @Override
+    protected AsciiString splitHeaderName(byte[] line, int start, int length) {
+        if (line[start + length] != ':') { // Netty has found a colon or a space here
+            throw new IllegalArgumentException("a header name is not followed by a colon");
+        }
+        return super.splitHeaderName(line, start, length);
+    }
+}
--- a/src/main/java/ivybank/upstream/UpstreamAttempt.java
+++ b/src/main/java/ivybank/upstream/UpstreamAttempt.java
@@ -11,36 +11,38 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One attempt at one upstream. It ends exactly once, whatever else is still to come for it. */
+/** One attempt at one node. It ends exactly once, whatever events are still to come for it. */
 public final class UpstreamAttempt {
 
-    /** Told what becomes of an attempt. */
+    /** Receives the events of an attempt. */
     public interface Listener {
 
-        /** A long answer has begun; it belongs to the client now, and the attempt ends with it. */
+        /** A long answer has started. It belongs to the client from now on, and the attempt ends with it. */
         default void answerStarted(Answer answer) {
             answer.rest().leave();
         }
 
-        /** The most that its node may be told of the time that is left, in milliseconds. */
+        /** Returns the upper limit of the time budget that is sent to the node, in milliseconds. */
         default double maxBudgetMs() {
             return Double.POSITIVE_INFINITY;
         }
 
         /**
-         * Whether it may be written now. Asked right before its first byte.
+         * Returns whether the attempt may be written now. Called right before its first byte.
          *
-         * @param toldMs the time that its node is to be told, in milliseconds
+         * @param budgetMs the time budget that will be sent to the node, in milliseconds
          */
-        default Verdict mayBeWritten(double toldMs) {
+        default Verdict mayBeWritten(double budgetMs) {
             return Verdict.ALLOWED;
         }
 
-        /** It has ended, once. */
+        /** The attempt has ended; called once. */
         void ended(Ending ending);
     }
 
-    /** How an attempt ended; type and body are those of a 200 answer and null with any other outcome. */
+    /**
+     * The end of an attempt. Content type and body are those of an answer with status 200, and null with any other outcome.
+     */
     public record Ending(Outcome outcome, double[] report, String contentType, byte[] body) {
 
         private static final double[] NO_REPORT = {};
@@ -50,7 +52,7 @@
         }
     }
 
-    private static final double MICROS_IN_MS = 1000;
+    private static final double MICROS_PER_MS = 1000;
 
     public final Node node;
     final ClientRequest request;
@@ -60,13 +62,15 @@
     private UpstreamConnection connection;
     private boolean ended;
     private boolean dispatched;
-    /** How it ended, or null; and when its first byte was written, by the module's clock. */
+    /** The outcome, or null while the attempt is under way. */
     private Outcome outcome;
 
+    /** The time at which its first byte was written, by the clock of the decision module. */
     private double writtenMs = Double.POSITIVE_INFINITY;
-    /** When it was handed to the pool, and what it has waited for since. */
-    double begunMs;
+    /** The time at which it was handed to the pool. */
+    double startedMs;
 
+    /** What it has waited for since then. */
     Stage stage = Stage.REUSE;
 
     public UpstreamAttempt(Node node, ClientRequest request, double timeoutMs, Listener listener) {
@@ -76,33 +80,37 @@
         this.listener = listener;
     }
 
+    /** Returns whether the attempt has ended. */
     public boolean ended() {
         return ended;
     }
 
-    /** From now on it may reach its node. */
+    /** Marks that the attempt may reach its node from now on. */
     public void markDispatched() {
         dispatched = true;
     }
 
+    /** Returns whether the attempt may have reached its node. */
     public boolean wasDispatched() {
         return dispatched;
     }
 
-    /** From now on it has its time; before that it has as much as its request takes to come. */
+    /** Starts the timeout. Before that, the attempt may take as long as its request takes to arrive. */
     void startTimer(EventLoop loop) {
         stopTimer();
-        timer = loop.schedule(() -> stop(Outcome.TIMEOUT), (long) (timeoutMs * MICROS_IN_MS), TimeUnit.MICROSECONDS);
+        timer = loop.schedule(() -> stop(Outcome.TIMEOUT), (long) (timeoutMs * MICROS_PER_MS), TimeUnit.MICROSECONDS);
     }
 
-    /** How long it is still waited for, in ms: what waited for a connection has less than it began with. */
-    double leftMs() {
-        return timer == null ? timeoutMs : timer.getDelay(TimeUnit.MICROSECONDS) / MICROS_IN_MS;
+    /**
+     * Returns the remaining time, in milliseconds: an attempt that waited for a connection has less than it started with.
+     */
+    double remainingMs() {
+        return timer == null ? timeoutMs : timer.getDelay(TimeUnit.MICROSECONDS) / MICROS_PER_MS;
     }
 
-    /** What its node is told of that: little more than its client has left, as far as that can be known. */
-    double toldMs() {
-        return Math.min(leftMs(), listener.maxBudgetMs());
+    /** Returns the time budget for the node: little more than its client has left, as far as that can be known. */
+    double budgetMs() {
+        return Math.min(remainingMs(), listener.maxBudgetMs());
     }
 
     private void stopTimer() {
@@ -111,38 +119,38 @@
         }
     }
 
-    /** Passes on an answer that is too long to be kept whole. */
-    void begin(Answer answer) {
+    /** Forwards an answer that is too long to be buffered whole. */
+    void forwardAnswer(Answer answer) {
         stopTimer();
         listener.answerStarted(answer);
     }
 
-    /** Whether it may be written now, with this time told to its node. */
-    Verdict mayBeWritten(double toldMs) {
-        return listener.mayBeWritten(toldMs);
+    /** Returns whether it may be written now, with this time budget for its node. */
+    Verdict mayBeWritten(double budgetMs) {
+        return listener.mayBeWritten(budgetMs);
     }
 
-    /** It is being written on this connection; the request may have left on it from now on. */
-    void writing(UpstreamConnection carrier, double nowMs) {
+    /** Records that it is being written on this connection; the request may have left on it from now on. */
+    void writeStarted(UpstreamConnection carrier, double nowMs) {
         connection = carrier;
         writtenMs = nowMs;
     }
 
-    /** What another attempt of the same request has to know of it. */
+    /** Returns what another attempt of the same request has to know about this one. */
     public Repeat.Other asOther() {
         boolean written = writtenMs < Double.POSITIVE_INFINITY;
         boolean provedNotRun = outcome != null && outcome.provesNotRun();
         return new Repeat.Other(written && !provedNotRun, node.zone(), node.cell(), writtenMs);
     }
 
-    /** Stops waiting: called off, or out of time. */
+    /** Stops waiting, because the attempt was cancelled or has timed out. */
     public void stop(Outcome ifSent) {
         if (ended) {
             return;
         }
         boolean neverSent = connection == null || !connection.written();
         UpstreamConnection carrier = connection;
-        // Without its last byte it cannot have begun, so a time-out before that proves that it has not run.
+        // A node starts with the last byte, so a timeout before that proves that the request has not run.
         end(Ending.of(neverSent && ifSent == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : ifSent));
         if (carrier != null) {
             carrier.close();
@@ -150,8 +158,8 @@
     }
 
     /**
-     * Ends it if its last byte has not left: it is not sent any more, whatever it waits for. That is no calling off, for nothing
-     * can have begun, and so needs nobody's leave.
+     * Ends the attempt if its last byte has not been written; it is then never sent. This is not a cancellation, because the node
+     * cannot have started on it, and so needs no permission.
      */
     public void cancelIfUnsent() {
         UpstreamConnection carrier = connection;
@@ -163,6 +171,7 @@
         }
     }
 
+    /** Ends the attempt, unless it has ended already. */
     public void end(Ending ending) {
         if (ended) {
             return;
--- a/src/main/java/ivybank/upstream/UpstreamConnection.java
+++ b/src/main/java/ivybank/upstream/UpstreamConnection.java
@@ -39,18 +39,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to an upstream, with one request at a time on it. It alone sees which bytes have left and what came
- * back, and so tells what became of an attempt. An answer counts when the read that brought it has ended, so that what
- * comes right behind it is seen before the connection is used again: such a surplus once was the next request's answer.
+ * One connection to a node, which carries one request at a time. It alone sees which bytes were written and which came back,
+ * and so determines the outcome of an attempt. An answer counts when the read that delivered it has ended, so that further
+ * input right behind it is seen before the connection is used again: such input was once taken for the next request's answer.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    private static final long LONGEST_STALL_MS = 5000;
-    private static final double STALL_LOOKS = 5; // in the time that it may stand still
-    private static final int MOST_INTERIM_ANSWERS = 16;
-    private static final int SERVED = 200;
-    private static final int UNAVAILABLE = 503;
-    private static final int TOO_LATE = 504;
+    private static final long UPLOAD_STALL_TIMEOUT_MS = 5000;
+    private static final double STALL_CHECKS = 5; // within the stall timeout
+    private static final int MAX_INTERIM_RESPONSES = 16;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_UNAVAILABLE = 503;
+    private static final int STATUS_GATEWAY_TIMEOUT = 504;
     private static final String REJECTED = "X-Rejected";
     private static final String LOAD_REPORT = "X-Load-Report";
     private static final String CALL_ID = "X-Call-Id";
@@ -59,16 +59,16 @@
     private static final String SERVICE = "api.internal";
 
     final Node node;
-    /** Where it leads; its node may have moved since. */
+    /** The address to which it leads; its node may have moved since. */
     final SocketAddress address;
-    /** Whether it was opened to spare an attempt a wait. */
+    /** Whether it is a spare connection, opened to save an attempt a wait. */
     final boolean spare;
-    /** When it was last handed back, by the module's clock. */
+    /** The time at which it was last returned to the pool, by the clock of the decision module. */
     double idleSinceMs;
-    /** When its last answer came, by the module's clock. */
+    /** The time of its last answer, by the clock of the decision module. */
     double answeredMs = Double.NEGATIVE_INFINITY;
 
-    private final AnswerDecoder decoder;
+    private final ResponseDecoder decoder;
     private final UpstreamPool pool;
     private final LoadReport reports;
     private Channel channel;
@@ -76,28 +76,31 @@
     private boolean written;
     private HttpResponse head;
     private ByteArrayOutputStream body;
-    /** The rest of a long answer that is being passed on, else null; and how much of it has come. */
+    /** The rest of a long answer that is being forwarded, or null. */
     private BodyPipe rest;
 
-    private long passed;
-    /** When its last part came, by the module's clock. */
-    private double partMs;
-    /** The rest of a long request that is being passed on, else null. */
+    /** The number of bytes of it that have arrived. */
+    private long forwardedBytes;
+    /** The time at which the last part of it arrived, by the clock of the decision module. */
+    private double lastPartMs;
+    /** The rest of a long request that is being forwarded, or null. */
     private BodyPipe upload;
 
-    private ScheduledFuture<?> stalled;
-    /** Whether it has ended otherwise than in order. */
+    private ScheduledFuture<?> uploadTimeout;
+    /** Whether it has failed instead of being closed in order. */
     private boolean broken;
 
-    private int interimAnswers;
-    /** When the request was written, or the head of its answer came, by the module's clock. */
+    private int interimResponses;
+    /**
+     * The time at which the request was written or the head of its answer arrived, by the clock of the decision module.
+     */
     private double phaseSinceMs;
-    /** What the answer that has come whole makes of the attempt, until the read has ended; else null. */
-    private Ending whole;
+    /** The end of the attempt by a complete answer, until the read has ended; otherwise null. */
+    private Ending pendingEnding;
 
     private boolean reusable;
 
-    UpstreamConnection(Node node, boolean spare, AnswerDecoder decoder, UpstreamPool pool, LoadReport reports) {
+    UpstreamConnection(Node node, boolean spare, ResponseDecoder decoder, UpstreamPool pool, LoadReport reports) {
         this.node = node;
         this.spare = spare;
         this.address = node.address;
@@ -111,12 +114,12 @@
         channel = ctx.channel();
     }
 
-    /** Whether the last byte of the request at hand has left. */
+    /** Returns whether the last byte of the current request has been written. */
     boolean written() {
         return written;
     }
 
-    /** Whether its channel was made and is up. */
+    /** Returns whether its channel exists and is up. */
     boolean active() {
         return channel != null && channel.isActive();
     }
@@ -127,12 +130,14 @@
         }
     }
 
-    /** What stands unread; the connection has to be closed unless there is nothing. */
+    /** Checks for unread input; unless there is none, the connection must be closed. */
     UnreadInput unreadInput() {
         return channel instanceof UpstreamSocketChannel socket ? socket.unreadInput() : UnreadInput.NONE;
     }
 
-    /** Connects, reads and writes once without being told to, where something is waited for: the selector may be told nothing. */
+    /**
+     * Tries to connect, read and write once without an event where one is awaited, because the selector may report none.
+     */
     void verify() {
         boolean waits = attempt != null || channel != null && !channel.isActive();
         if (waits && channel instanceof UpstreamSocketChannel socket) {
@@ -140,29 +145,31 @@
         }
     }
 
-    /** Sends an attempt, unless the guard denies it: then it ends as not sent, and the connection is free. */
+    /**
+     * Sends an attempt, unless the invariant guard denies it: then the attempt ends as not sent and the connection stays free.
+     */
     void send(UpstreamAttempt next) {
-        long toldMs = Math.max(1, (long) next.toldMs());
-        if (!next.mayBeWritten((double) toldMs).isAllowed()) {
-            pool.unused(this);
+        long budgetMs = Math.max(1, (long) next.budgetMs());
+        if (!next.mayBeWritten((double) budgetMs).isAllowed()) {
+            pool.returnUnused(this);
             next.end(Ending.of(Outcome.NOT_SENT));
             return;
         }
-        write(next, toldMs);
+        write(next, budgetMs);
     }
 
-    private void write(UpstreamAttempt next, long toldMs) {
+    private void write(UpstreamAttempt next, long budgetMs) {
         attempt = next;
         written = false;
         head = null;
-        interimAnswers = 0;
+        interimResponses = 0;
         phaseSinceMs = pool.nowMs();
-        next.writing(this, phaseSinceMs);
+        next.writeStarted(this, phaseSinceMs);
         ClientRequest request = next.request;
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.HOST, SERVICE);
         headers.set(CALL_ID, request.callId());
-        headers.set(BUDGET, toldMs);
+        headers.set(BUDGET, budgetMs);
         if (request.idempotencyKey() != null) {
             headers.set(IDEMPOTENCY_KEY, request.idempotencyKey());
         }
@@ -187,18 +194,18 @@
                 Unpooled.wrappedBuffer(request.body()),
                 headers,
                 EmptyHttpHeaders.INSTANCE);
-        channel.writeAndFlush(message).addListener(write -> written(next, write.isSuccess()));
+        channel.writeAndFlush(message).addListener(write -> requestWritten(next, write.isSuccess()));
     }
 
     /**
-     * Guards clients against a part of an answer: a reset that a write finds first closes the channel as an end in order would,
-     * and an answer without a length seemed whole.
+     * Writes a part of a request. A reset that a write detects first closes the channel like a normal close, and a truncated answer
+     * without a length then seemed complete.
      */
     private void writePart(ByteBuf part) {
         channel.writeAndFlush(new DefaultHttpContent(part)).addListener(write -> broken |= !write.isSuccess());
     }
 
-    private void written(UpstreamAttempt sent, boolean whole) {
+    private void requestWritten(UpstreamAttempt sent, boolean whole) {
         if (attempt == sent) {
             written = whole;
             if (!whole) {
@@ -209,7 +216,9 @@
         }
     }
 
-    /** The rest of a long request, as it comes. One that breaks off goes no further, and so has not run. */
+    /**
+     * Forwards the rest of a long request as it arrives. A request that breaks off is not completed, and so has not run.
+     */
     private final class Upload implements BodyPipe.Sink {
         private final UpstreamAttempt sent;
 
@@ -224,7 +233,7 @@
                 return;
             }
             writePart(part);
-            writable(channel.isWritable());
+            updateUpload(channel.isWritable());
         }
 
         @Override
@@ -235,7 +244,7 @@
             if (whole) {
                 upload = null;
                 channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
-                        .addListener(write -> written(sent, write.isSuccess()));
+                        .addListener(write -> requestWritten(sent, write.isSuccess()));
             } else {
                 finish(Ending.of(Outcome.CONNECT_FAILED), false);
             }
@@ -245,18 +254,20 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (upload != null) {
-            writable(ctx.channel().isWritable());
+            updateUpload(ctx.channel().isWritable());
         }
     }
 
-    /** Guards a request's client against a node that reads no further: such an attempt has not run, and ends. */
-    private void writable(boolean more) {
-        upload.wanted(more);
-        if (stalled != null) {
-            stalled.cancel(false);
+    /**
+     * Applies back pressure to the upload. Ends the attempt, which has not run, if the node does not read for too long.
+     */
+    private void updateUpload(boolean writable) {
+        upload.wanted(writable);
+        if (uploadTimeout != null) {
+            uploadTimeout.cancel(false);
         }
         UpstreamAttempt sent = attempt;
-        stalled = more
+        uploadTimeout = writable
                 ? null
                 : channel.eventLoop()
                         .schedule(
@@ -265,93 +276,92 @@
                                         finish(Ending.of(Outcome.CONNECT_FAILED), false);
                                     }
                                 },
-                                LONGEST_STALL_MS,
+                                UPLOAD_STALL_TIMEOUT_MS,
                                 TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        if (whole != null || attempt == null) {
-            reusable = false; // more than was asked for
+        if (pendingEnding != null || attempt == null) {
+            reusable = false; // unexpected input
         } else if (message.decoderResult().isFailure()) {
-            spoilt("can't be read");
+            failMalformed("can't be read");
         } else if (message instanceof HttpResponse response) {
-            begin(response);
+            startResponse(response);
         }
         if (message instanceof HttpContent content && head != null) {
-            add(content.content());
+            addBody(content.content());
             if (message instanceof LastHttpContent && head != null) {
-                answered();
+                answerCompleted();
             }
         }
     }
 
-    /** Takes the head of an answer, unless it alone tells that no answer worth reading follows. */
-    private void begin(HttpResponse response) {
+    /** Handles the head of a response, unless it already shows that no usable answer follows. */
+    private void startResponse(HttpResponse response) {
         boolean interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        // Without a length its end is that of the connection, which must have been announced: else it can't be told
-        // from
-        // a break, and a part of an answer must not be served.
+        // Without a length, the answer ends with the connection, which must have been announced: otherwise the end
+        // can't be distinguished from a failure, and a truncated answer must not be served.
         boolean bounded = HttpUtil.isContentLengthSet(response)
                 || HttpUtil.isTransferEncodingChunked(response)
                 || !HttpUtil.isKeepAlive(response);
-        if (!written && response.status().code() == SERVED) {
-            pool.spoilt(node, "came before its request had left");
-            finish(Ending.of(Outcome.CONNECT_FAILED), false); // a node begins with the last byte, so it has not run
+        if (!written && response.status().code() == STATUS_OK) {
+            pool.reportMalformedAnswer(node, "arrived before its request was sent");
+            finish(Ending.of(Outcome.CONNECT_FAILED), false); // a node starts with the last byte, so it has not run
         } else if (!Framing.isClear(response) || !interim && !bounded) {
-            spoilt("doesn't tell where it ends");
+            failMalformed("has no clear end");
         } else if (Framing.isTooLong(response)) {
-            spoilt("is too long");
+            failMalformed("is too long");
         } else if (response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
-                || interim && ++interimAnswers > MOST_INTERIM_ANSWERS) {
-            spoilt("only announces others");
+                || interim && ++interimResponses > MAX_INTERIM_RESPONSES) {
+            failMalformed("has too many interim responses or switches protocols");
         } else {
             head = response;
             body = new ByteArrayOutputStream();
             if (!interim) {
-                pool.answering(node, pool.nowMs() - phaseSinceMs);
+                pool.responseStarted(node, pool.nowMs() - phaseSinceMs);
                 endPhase(Stage.FIRST_BYTE);
             }
         }
     }
 
-    /** Counts the time since the request was written, or since the stage before. */
+    /** Records the time since the request was written, or since the previous stage. */
     private void endPhase(Stage stage) {
         double nowMs = pool.nowMs();
-        pool.took(stage, nowMs - phaseSinceMs);
+        pool.recordStage(stage, nowMs - phaseSinceMs);
         phaseSinceMs = nowMs;
     }
 
-    private void add(ByteBuf part) {
+    private void addBody(ByteBuf part) {
         if (rest != null) {
-            passed += part.readableBytes();
-            partMs = pool.nowMs();
-            if (passed > Framing.MAX_BODY) {
-                spoilt("is too long");
+            forwardedBytes += part.readableBytes();
+            lastPartMs = pool.nowMs();
+            if (forwardedBytes > Framing.MAX_BODY) {
+                failMalformed("is too long");
             } else {
                 rest.part(part.retain());
             }
             return;
         }
         if (body.size() + part.readableBytes() > Framing.MOST_WHOLE) {
-            passOn(part);
+            forwardAnswer(part);
             return;
         }
         try {
             part.readBytes(body, part.readableBytes());
         } catch (IOException e) {
-            throw new IllegalStateException("memory takes all bytes", e);
+            throw new IllegalStateException("writing to memory never fails", e);
         }
     }
 
-    /** Begins to pass on an answer that is too long to be kept. */
-    private void passOn(ByteBuf part) {
+    /** Starts to forward an answer that is too long to be buffered. */
+    private void forwardAnswer(ByteBuf part) {
         if (outcome() != Outcome.OK) {
-            finish(Ending.of(outcome()), false); // what it says is of no interest
+            finish(Ending.of(outcome()), false); // the body of a failure is not used
         } else if (attempt.request.record() != null) {
-            spoilt("is too long to be put on record");
+            failMalformed("is too long to be recorded");
         } else {
-            passed = (long) body.size() + part.readableBytes();
+            forwardedBytes = (long) body.size() + part.readableBytes();
             rest = new BodyPipe(new BodyPipe.Source() {
                 @Override
                 public void wanted(boolean more) {
@@ -364,9 +374,9 @@
                 }
             });
             rest.part(part.retain());
-            partMs = pool.nowMs();
+            lastPartMs = pool.nowMs();
             watchStall(attempt);
-            attempt.begin(Answer.begun(
+            attempt.forwardAnswer(Answer.begun(
                     head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                     body.toByteArray(),
                     rest,
@@ -374,38 +384,40 @@
         }
     }
 
-    /** Guards clients against a node that begins a long answer and never ends it: no other time runs any more. */
+    /**
+     * Ends a long answer that stalls: no other timeout runs once it is being forwarded, so its client would wait forever.
+     */
     private void watchStall(UpstreamAttempt passing) {
         channel.eventLoop()
                 .schedule(
                         () -> {
-                            if (attempt != passing || rest == null || whole != null) {
+                            if (attempt != passing || rest == null || pendingEnding != null) {
                                 return;
                             }
                             if (!channel.config().isAutoRead()) {
-                                partMs = pool.nowMs(); // it is the client that takes no more
+                                lastPartMs = pool.nowMs(); // the client is what stalls
                             }
-                            if (pool.nowMs() - partMs > pool.stallMs()) {
-                                spoilt("stands still after " + passed + " bytes");
+                            if (pool.nowMs() - lastPartMs > pool.stallMs()) {
+                                failMalformed("stalls after " + forwardedBytes + " bytes");
                             } else {
                                 watchStall(passing);
                             }
                         },
-                        (long) (pool.stallMs() / STALL_LOOKS),
+                        (long) (pool.stallMs() / STALL_CHECKS),
                         TimeUnit.MILLISECONDS);
     }
 
-    private void answered() {
+    private void answerCompleted() {
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            head = null; // the answer itself is still to come
+            head = null; // the final response is still to come
             return;
         }
         if (broken) {
-            return; // the decoder takes any end for that of an answer without a length
+            return; // the decoder takes any close for the end of an answer without a length
         }
         Outcome outcome = outcome();
         boolean served = outcome == Outcome.OK;
-        whole = new Ending(
+        pendingEnding = new Ending(
                 outcome,
                 reports.read(head.headers().getAll(LOAD_REPORT)),
                 served ? head.headers().get(HttpHeaderNames.CONTENT_TYPE) : null,
@@ -422,42 +434,45 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (ctx.channel() instanceof SteadySocketChannel socket && !socket.takeHasRead()) {
-            ctx.fireChannelReadComplete(); // a read that failed, or found nothing where the selector was not asked
+            ctx.fireChannelReadComplete(); // a read that failed, or found nothing without an event
             return;
         }
-        boolean surplus = !reusable || decoder.holdsMore();
-        if (whole != null) {
+        boolean unexpectedInput = !reusable || decoder.hasRemainingInput();
+        if (pendingEnding != null) {
             endPhase(Stage.ANSWER_READ);
-            finish(whole, !surplus);
+            finish(pendingEnding, !unexpectedInput);
         } else if (attempt == null && active()) {
-            pool.surplus(this);
+            pool.reportUnexpectedInput(this);
             close();
         }
         ctx.fireChannelReadComplete();
     }
 
-    /** Guards clients against an answer that may be another one's, cut or endless: it has failed and may have run. */
-    private void spoilt(String how) {
-        pool.spoilt(node, how);
+    /**
+     * Fails the attempt because of an answer that may belong to another request, or be truncated or endless; the request may have
+     * run.
+     */
+    private void failMalformed(String reason) {
+        pool.reportMalformedAnswer(node, reason);
         finish(Ending.of(Outcome.RESET), false);
     }
 
     private Outcome outcome() {
         int status = head.status().code();
-        boolean turnedAway = (status == UNAVAILABLE || status == TOO_LATE)
+        boolean rejected = (status == STATUS_UNAVAILABLE || status == STATUS_GATEWAY_TIMEOUT)
                 && "1".equals(head.headers().get(REJECTED));
-        if (turnedAway) {
+        if (rejected) {
             return Outcome.REJECTED;
         }
-        return status == SERVED ? Outcome.OK : Outcome.ERROR;
+        return status == STATUS_OK ? Outcome.OK : Outcome.ERROR;
     }
 
-    /** Ends the attempt at hand and hands the connection back, or closes it. */
-    private void finish(Ending ending, boolean useAgain) {
+    /** Ends the current attempt, and returns the connection to the pool or closes it. */
+    private void finish(Ending ending, boolean reuse) {
         UpstreamAttempt ended = attempt;
         attempt = null;
         if (rest != null) {
-            rest.end(false); // unless it has ended whole
+            rest.end(false); // no effect if it has ended in order
             rest = null;
         }
         if (upload != null) {
@@ -466,15 +481,15 @@
         }
         head = null;
         body = null;
-        whole = null;
+        pendingEnding = null;
         answeredMs = pool.nowMs();
-        boolean turnedAway = ending.outcome() == Outcome.REJECTED;
-        if (turnedAway) {
-            pool.turnedAway(node);
+        boolean rejected = ending.outcome() == Outcome.REJECTED;
+        if (rejected) {
+            pool.requestRejected(node);
         }
-        // First the connection: the end of this attempt may bring the next one for it.
-        if (useAgain && !(turnedAway && spare)) {
-            pool.handBack(this);
+        // The connection comes first: the end of this attempt may start the next one on it.
+        if (reuse && !(rejected && spare)) {
+            pool.returnAnswered(this);
         } else {
             close();
         }
@@ -485,13 +500,15 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        // An answer that came whole counts, also where the connection ended right behind it.
-        finish(whole != null ? whole : Ending.of(written ? Outcome.RESET : Outcome.CONNECT_FAILED), false);
+        // A complete answer counts even where the connection was closed right behind it.
+        finish(
+                pendingEnding != null ? pendingEnding : Ending.of(written ? Outcome.RESET : Outcome.CONNECT_FAILED),
+                false);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         broken = true;
-        ctx.close(); // what it means for the attempt is told when the channel is inactive
+        ctx.close(); // channelInactive ends the attempt
     }
 }
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -19,54 +19,54 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Keep-alive connections to upstreams, the most recently used first. All of it runs on one event loop. */
+/** A pool of keep-alive connections to nodes, which uses the most recently used ones first. Runs on one event loop. */
 public final class UpstreamPool {
 
     /**
-     * What bounds the pool.
+     * The limits of the pool.
      *
-     * @param connections how many may be open in all
-     * @param connectTimeoutMs how long one may take to come up
-     * @param idleMs how long one may stand idle
-     * @param stallMs how long nothing may come of an answer that is being passed on
+     * @param connections the maximum number of open connections
+     * @param connectTimeoutMs the timeout within which a connection must come up
+     * @param idleMs how long a connection may be idle
+     * @param stallMs how long an answer that is being forwarded may stall
      * @param reuse when an idle connection is used again, and when a spare one is opened
      */
     public record Limits(
             int connections, int connectTimeoutMs, double idleMs, double stallMs, ConnectionReusePolicy.Limits reuse) {
 
-        /** The usual limits; {@code coldMs} is how long after its start a node is still warming up. */
+        /** Returns the standard limits; {@code coldMs} is how long after its start a node is still warming up. */
         public static Limits standard(int connections, int connectTimeoutMs, double idleMs, double coldMs) {
             return new Limits(
                     connections,
                     connectTimeoutMs,
                     idleMs,
-                    LONGEST_STALL_MS,
+                    ANSWER_STALL_TIMEOUT_MS,
                     ConnectionReusePolicy.Limits.standard(REST_MS, coldMs));
         }
 
-        /** Limits under which a connection can be used again at once, for nodes that are known to answer once. */
+        /** Returns limits under which a connection may be used again at once, for nodes known to answer only once. */
         public static Limits withoutRest(int connections, int connectTimeoutMs, double idleMs) {
             return new Limits(
                     connections,
                     connectTimeoutMs,
                     idleMs,
-                    LONGEST_STALL_MS,
+                    ANSWER_STALL_TIMEOUT_MS,
                     ConnectionReusePolicy.Limits.standard(0, 0));
         }
     }
 
-    private static final long SWEEP_MS = 500;
-    private static final long VERIFY_MS = 100;
-    /** Where a client can't be confirmed to be there, that is tried again after so long. */
-    private static final long CONFIRM_MS = 5;
+    private static final long SWEEP_INTERVAL_MS = 500;
+    private static final long VERIFY_INTERVAL_MS = 100;
+    /** The delay before the check of a client's connection is repeated where it was inconclusive. */
+    private static final long CLIENT_CHECK_DELAY_MS = 5;
     /**
-     * For so long after an answer a connection is not used again. Guards a request against another one's answer: a spoilt node
-     * gives a second answer some milliseconds after the first, and on a connection in use it can't be told from the answer that is
-     * awaited.
+     * The time after an answer in which a connection is not used again. Guards against taking another request's answer: a faulty
+     * node sends a second answer some milliseconds after the first, which on a connection in use cannot be distinguished from the
+     * expected answer.
      */
     private static final double REST_MS = 30;
 
-    private static final double LONGEST_STALL_MS = 5000;
+    private static final double ANSWER_STALL_TIMEOUT_MS = 5000;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -82,7 +82,7 @@
     private boolean idleDisabled;
     private long malformedAnswers;
 
-    /** {@code base} says what kind of channels to open, and with which options. */
+    /** Creates a pool; {@code base} defines the type and the options of the channels. */
     public UpstreamPool(
             EventLoop loop,
             Clock clock,
@@ -98,51 +98,51 @@
         this.reuse = new ConnectionReusePolicy(limits.reuse());
         ConnectionOpener.Limits bounds = new ConnectionOpener.Limits(limits.connections(), limits.connectTimeoutMs());
         this.opener = new ConnectionOpener(this, loop, bounds, descriptors, reports, base);
-        this.sweep =
-                PeriodicTask.start("sweep of connections to upstreams", loop, clock, log, SWEEP_MS, this::closeUseless);
+        this.sweep = PeriodicTask.start(
+                "sweep of connections to upstreams", loop, clock, log, SWEEP_INTERVAL_MS, this::sweepConnections);
         this.verification = PeriodicTask.start(
-                "verification of connections to upstreams", loop, clock, log, VERIFY_MS, opener::verify);
+                "verification of connections to upstreams", loop, clock, log, VERIFY_INTERVAL_MS, opener::verify);
     }
 
-    /** From now on tells this of what happens to connections. Before the first is begun. */
+    /** Sets the tally that counts connections. Must be called before the first one is opened. */
     public void setTally(Tally counts) {
         tally = counts;
         opener.setTally(counts);
     }
 
-    /** What closes idle connections, finds lost ones, and looks after those of which nothing is told. */
+    /** Returns the periodic tasks that close idle connections, find lost ones, and check those without events. */
     public List<Chain> chains() {
         return List.of(sweep, verification);
     }
 
-    /** From now on minds whether the event loop was held up. */
+    /** Sets the detector that reports event loop stalls. */
     public void setStallDetector(EventLoopStallDetector loops) {
         stallDetector = loops;
     }
 
-    /** Tells what is idle now. */
+    /** Reports the current number of idle connections to the tally. */
     public void reportIdle() {
         idle.countEach((node, count) -> tally.connectionsIdle(node.host, count));
     }
 
-    /** Notes an answer that is none, for the next report. */
-    void spoilt(Node node, String how) {
+    /** Counts and logs a malformed answer. */
+    void reportMalformedAnswer(Node node, String reason) {
         malformedAnswers++;
-        log.line("an answer of " + node + " " + how + ": failed, and its connection closed");
+        log.line("an answer of " + node + " " + reason + ": attempt failed, connection closed");
     }
 
-    /** Notes bytes that came when no answer was awaited. */
-    void surplus(UpstreamConnection connection) {
-        log.line(connection.node + " sent something " + Math.round(clock.nowMs() - connection.idleSinceMs)
+    /** Logs input that arrived when no answer was expected. */
+    void reportUnexpectedInput(UpstreamConnection connection) {
+        log.line(connection.node + " sent unexpected input " + Math.round(clock.nowMs() - connection.idleSinceMs)
                 + " ms after its last answer: connection closed");
     }
 
-    /** Spoilt answers since the start. */
+    /** Returns the number of malformed answers since the start. */
     public long malformedAnswers() {
         return malformedAnswers;
     }
 
-    void took(Stage stage, double ms) {
+    void recordStage(Stage stage, double ms) {
         tally.stageCompleted(stage, ms);
     }
 
@@ -154,43 +154,44 @@
         return clock.nowMs();
     }
 
+    /** Returns the number of connections that are open or coming up. */
     public int open() {
         return opener.open();
     }
 
-    /** Connections opened since the start. */
+    /** Returns the number of connections opened since the start. */
     public long opened() {
         return opener.opened();
     }
 
-    /** Sends an attempt; it may end before this returns. */
+    /** Sends an attempt, which may end before this returns. */
     public void send(UpstreamAttempt attempt) {
         if (!attempt.request.arriving()) {
             attempt.startTimer(loop);
         }
-        reuse.attemptBegan();
-        attempt.begunMs = clock.nowMs();
+        reuse.attemptStarted();
+        attempt.startedMs = clock.nowMs();
         begin(attempt);
     }
 
-    /** Sends an attempt on a connection that has rested, else on the one that can be used first. */
+    /** Sends an attempt on a connection that has rested, or otherwise on the one that can be used first. */
     void begin(UpstreamAttempt attempt) {
         Node node = attempt.node;
-        if (!node.ready) { // discovery may have said so while it waited
+        if (!node.ready) { // the node has started to drain while the attempt waited
             attempt.end(Ending.of(Outcome.NOT_SENT));
             return;
         }
         double nowMs = clock.nowMs();
-        UpstreamConnection idleOne = idle.take(node, connection -> restLeftMs(connection, nowMs) <= 0);
-        double restLeftMs = idleOne == null ? Double.POSITIVE_INFINITY : restLeftMs(idleOne, nowMs);
+        UpstreamConnection candidate = idle.take(node, connection -> restLeftMs(connection, nowMs) <= 0);
+        double restLeftMs = candidate == null ? Double.POSITIVE_INFINITY : restLeftMs(candidate, nowMs);
         NodeState state = new NodeState(node.host, nowMs - node.startedMs(), opener.spares(node));
-        switch (reuse.choose(state, restLeftMs, opener.hasRoomForSpares(), nowMs)) {
-            case REUSE -> send(idleOne, attempt);
-            case WAIT -> new ConnectionWait(this, loop, opener, attempt).forRest(idleOne, restLeftMs);
+        switch (reuse.choose(state, restLeftMs, opener.hasCapacityForSpares(), nowMs)) {
+            case REUSE -> send(candidate, attempt);
+            case WAIT -> new ConnectionWait(this, loop, opener, attempt).awaitRest(candidate, restLeftMs);
             case OPEN_AND_WAIT -> {
                 ConnectionWait wait = new ConnectionWait(this, loop, opener, attempt);
-                wait.forRest(idleOne, restLeftMs);
-                wait.forNew(true);
+                wait.awaitRest(candidate, restLeftMs);
+                wait.awaitNew(true);
             }
             case OPEN -> open(attempt);
         }
@@ -198,10 +199,11 @@
 
     private void open(UpstreamAttempt attempt) {
         if (!opener.isFull() || idle.closeLongestIdle()) {
-            new ConnectionWait(this, loop, opener, attempt).forNew(false);
+            new ConnectionWait(this, loop, opener, attempt).awaitNew(false);
         } else {
             log.line("all " + opener.open()
-                    + " connections to upstreams are busy and there may be no more: nothing sent to " + attempt.node);
+                    + " connections to upstreams are in use and no more may be opened: nothing sent to "
+                    + attempt.node);
             attempt.end(Ending.of(Outcome.NOT_SENT));
         }
     }
@@ -211,52 +213,54 @@
     }
 
     /**
-     * Sends on a connection that is free. Guards nodes against requests whose clients have left, and nodes that have begun to
-     * drain, while the event loop was held up: what says so may still stand unread, and is looked for first.
+     * Sends on a free connection. After an event loop stall, unread input that reports a disconnected client or a draining node is
+     * processed first, so that the request is not sent in vain.
      */
     void send(UpstreamConnection connection, UpstreamAttempt attempt) {
         if (stallDetector.ofLate(clock.nowMs())) {
-            NextSelect.then(loop, () -> writeIfWanted(connection, attempt));
+            NextSelect.then(loop, () -> writeIfSendable(connection, attempt));
         } else {
             write(connection, attempt);
         }
     }
 
     /**
-     * Writes a request whose client is there, on a connection on which nothing stands unread. Guards against an answer that the event loop has not
-     * read yet: it came before the request, and would be taken for the request's own.
+     * Writes a request whose client is connected, on a connection without unread input. Such input may be an answer that arrived
+     * before the request and would be taken for the request's own.
      */
     private void write(UpstreamConnection connection, UpstreamAttempt attempt) {
         if (!attempt.request.client().confirmed()) {
-            loop.schedule(() -> writeIfWanted(connection, attempt), CONFIRM_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> writeIfSendable(connection, attempt), CLIENT_CHECK_DELAY_MS, TimeUnit.MILLISECONDS);
             return;
         }
         UnreadInput unread = connection.unreadInput();
         if (unread == UnreadInput.NONE) {
-            took(attempt.stage, clock.nowMs() - attempt.begunMs);
+            recordStage(attempt.stage, clock.nowMs() - attempt.startedMs);
             connection.send(attempt);
             return;
         }
         if (unread == UnreadInput.BYTES) {
-            surplus(connection);
+            reportUnexpectedInput(connection);
         }
         connection.close();
         begin(attempt);
     }
 
-    private void writeIfWanted(UpstreamConnection connection, UpstreamAttempt attempt) {
-        if (isStillWanted(connection, attempt)) {
+    private void writeIfSendable(UpstreamConnection connection, UpstreamAttempt attempt) {
+        if (isSendable(connection, attempt)) {
             write(connection, attempt);
         }
     }
 
-    /** Whether an attempt may go on the connection that it has waited for; else that is seen to. */
-    private boolean isStillWanted(UpstreamConnection connection, UpstreamAttempt attempt) {
-        if (attempt.ended()) { // its request was called off meanwhile; the next one finds the connection
-            keep(connection);
+    /**
+     * Returns whether an attempt may be sent on the connection that it has waited for; otherwise handles that case.
+     */
+    private boolean isSendable(UpstreamConnection connection, UpstreamAttempt attempt) {
+        if (attempt.ended()) { // its request was cancelled meanwhile; the next request uses the connection
+            keepIdle(connection);
             return false;
         }
-        if (!isOfUse(connection)) { // discovery may have said so
+        if (!isUsable(connection)) { // the node has drained or moved meanwhile
             connection.close();
             begin(attempt);
             return false;
@@ -264,65 +268,69 @@
         return true;
     }
 
-    /** Whether it leads to where its node is; one that has moved is another machine. */
-    static boolean leadsToItsNode(UpstreamConnection connection) {
+    /**
+     * Returns whether a connection leads to the current address of its node; a node that has moved is another machine.
+     */
+    static boolean leadsToNodeAddress(UpstreamConnection connection) {
         return connection.node.ready && connection.address.equals(connection.node.address);
     }
 
-    static boolean isOfUse(UpstreamConnection connection) {
-        return leadsToItsNode(connection) && connection.active();
+    static boolean isUsable(UpstreamConnection connection) {
+        return leadsToNodeAddress(connection) && connection.active();
     }
 
-    /** A connection has come up, this long after it was begun. */
-    void cameUp(UpstreamConnection connection, double tookMs) {
-        reuse.cameUp(tookMs);
+    /** Records that a connection has come up, this long after it was opened. */
+    void connectionEstablished(UpstreamConnection connection, double tookMs) {
+        reuse.connectionEstablished(tookMs);
         connection.idleSinceMs = clock.nowMs();
     }
 
-    /** A node has begun to answer, this long after the request was written to it. */
-    void answering(Node node, double tookMs) {
+    /** Records that a node has started to answer, this long after the request was written to it. */
+    void responseStarted(Node node, double tookMs) {
         reuse.answered(node.host, tookMs, clock.nowMs());
     }
 
-    /** A connection was refused or has not come up in its time; {@code local}: this machine is the reason. */
-    void notUp(Node node, Throwable cause, boolean local) {
+    /** Records that a connection was refused or timed out; {@code local}: this machine is the reason. */
+    void connectFailed(Node node, Throwable cause, boolean local) {
         if (local) {
-            log.line("no connection to " + node + " could be begun here: " + cause);
+            log.line("no connection to " + node + " could be opened by this machine: " + cause);
         } else {
             reuse.refused(node.host, clock.nowMs());
         }
     }
 
-    /** A connection has ended, or should have come up long ago, and nobody was told. */
-    void unaccounted(UpstreamConnection connection) {
-        log.line("a connection to " + connection.node + " ended without a word: what it had taken is given back");
+    /** Logs a connection that has ended, or should have come up long ago, without an event. */
+    void connectionLost(UpstreamConnection connection) {
+        log.line("a connection to " + connection.node + " ended without an event: its resources are released");
     }
 
-    /** A connection has ended. */
-    void ended(UpstreamConnection connection) {
+    /** Removes a connection that has ended. */
+    void connectionClosed(UpstreamConnection connection) {
         idle.remove(connection);
     }
 
-    /** A node has turned a request away, perhaps because it has too many connections: it is left those opened to spare. */
-    void turnedAway(Node node) {
+    /**
+     * Records that a node rejected a request, perhaps because it has too many connections; closes the idle spare connections to it.
+     */
+    void requestRejected(Node node) {
         reuse.refused(node.host, clock.nowMs());
         idle.closeIf(node, connection -> connection.spare);
     }
 
     /** Takes back a connection that was to carry a request and did not. */
-    void unused(UpstreamConnection connection) {
-        keep(connection);
+    void returnUnused(UpstreamConnection connection) {
+        keepIdle(connection);
     }
 
     /** Takes back a connection whose request has been answered. */
-    void handBack(UpstreamConnection connection) {
+    void returnAnswered(UpstreamConnection connection) {
         connection.idleSinceMs = clock.nowMs();
-        keep(connection);
+        keepIdle(connection);
     }
 
-    /** Keeps a connection that nothing needs at the moment for the next request. */
-    void keep(UpstreamConnection connection) {
-        if (idleDisabled || !isOfUse(connection)) {
+    /** Keeps a connection that is not needed at the moment for the next request. */
+    void keepIdle(UpstreamConnection connection) {
+        if (idleDisabled || !isUsable(connection)) {
             connection.close();
         } else {
             idle.add(connection);
@@ -334,17 +342,18 @@
         idle.close(node);
     }
 
+    /** Closes all idle connections. */
     public void closeAllIdle() {
         idle.closeAll();
     }
 
-    /** From now on a connection is closed when it is free: another process needs the descriptors. */
+    /** Closes each connection once it is free from now on: another process needs the descriptors. */
     public void disableIdleConnections() {
         idleDisabled = true;
         closeAllIdle();
     }
 
-    private void closeUseless() {
+    private void sweepConnections() {
         opener.reconcile();
         double nowMs = clock.nowMs();
         idle.closeIdleSince(nowMs - limits.idleMs());
--- a/src/main/java/ivybank/upstream/UpstreamSocketChannel.java
+++ b/src/main/java/ivybank/upstream/UpstreamSocketChannel.java
@@ -4,27 +4,27 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A socket channel to an upstream that can tell, without waiting for the event loop, whether it has unread input. */
+/** A socket channel to a node that can report, without waiting for the event loop, whether it has unread input. */
 public final class UpstreamSocketChannel extends SteadySocketChannel {
 
-    /** What the system holds for this channel and nobody has read. */
+    /** The input that the operating system has buffered for a channel and that has not been read. */
     enum UnreadInput {
         NONE,
         BYTES,
-        /** The upstream has ended the connection, or it is broken. */
+        /** The node has closed the connection, or it is broken. */
         END
     }
 
-    /** An attempt on which nothing can be read any more has a time of its own. */
-    private static final double LONGEST_FAILURE_MS = 1000;
+    /** Short, because an attempt whose connection cannot be read has a timeout of its own. */
+    private static final double MAX_READ_FAILURE_MS = 1000;
 
     public UpstreamSocketChannel() {
-        super(LONGEST_FAILURE_MS);
+        super(MAX_READ_FAILURE_MS);
     }
 
     /**
-     * Looks with one read that does not block. It takes what it finds, so that the channel has to be closed unless there is
-     * none. On the channel's event loop only.
+     * Checks with one non-blocking read. The read consumes input that it finds, so the channel must be closed unless there is
+     * none. Must be called on the event loop of the channel.
      */
     UnreadInput unreadInput() {
         try {
--- a/src/main/java/ivybank/upstream/package-info.java
+++ b/src/main/java/ivybank/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** The upstream side: connections to nodes, attempts, reading answers. */
+/** Connections to nodes, attempts, and parsing of answers. */
 package ivybank.upstream;
--- a/src/test/java/ivybank/rehearsal/MutantsTest.java
+++ b/src/test/java/ivybank/rehearsal/MutantsTest.java
@@ -279,8 +279,8 @@
                     List.of("connections were opened"),
                     List.of(new Edit(
                             "upstream/UpstreamPool.java",
-                            "idleDisabled || !isOfUse(connection)",
-                            "idleDisabled || isOfUse(connection)"))),
+                            "idleDisabled || !isUsable(connection)",
+                            "idleDisabled || isUsable(connection)"))),
             new Mutant(
                     "leaks memory",
                     Night.CALM,
--- a/src/test/java/ivybank/upstream/ConnectionReuseTest.java
+++ b/src/test/java/ivybank/upstream/ConnectionReuseTest.java
@@ -24,12 +24,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to nodes: which is used again, how long it rests, and how many there are. */
+/** Tests which connection to a node is used again, how long it rests, and how many there are. */
 @Timeout(20)
 class ConnectionReuseTest extends UpstreamPoolTestBase {
 
     @Test
-    void aConnectionToAnAddressThatTheNodeHasLeftIsNotUsedAgain() throws Exception {
+    void aConnectionToAFormerAddressOfTheNodeIsNotUsedAgain() throws Exception {
         try (FakeServer old = new FakeServer(connection -> {
                     connection.read();
                     connection.requests.take();
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aConnectionThatTheUpstreamEndsIsNotUsedAgain() throws Exception {
+    void aConnectionThatTheNodeClosesIsNotUsedAgain() throws Exception {
         try (FakeServer server =
                 FakeServer.answering(FakeServer.OK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"))) {
             Node node = node(server.address());
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aPooledConnectionThatDiedIdleIsNotTaken() throws Exception {
+    void aPooledConnectionThatWasResetWhileIdleIsNotUsed() throws Exception {
         try (FakeServer server = new FakeServer(connection -> {
             connection.read();
             connection.write(FakeServer.OK);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void idleConnectionsCloseInTime() throws Exception {
+    void idleConnectionsAreClosedAfterTheirTimeout() throws Exception {
         pool = pool(100, 200);
         try (FakeServer server = new FakeServer(connection -> {
             connection.read();
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aConnectionThatHasRestedIsTakenFirstAndOneThatRestsIsWaitedForRatherThanAnotherOpened() throws Exception {
+    void aRestingConnectionIsWaitedForRatherThanAnotherOpened() throws Exception {
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             Node node = node(server.address());
             for (int i = 0; i < 5; i++) {
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aSpareConnectionIsOpenedRatherThanALongRestWaitedForAndNotMoreThanAllowed() throws Exception {
+    void aSpareConnectionIsOpenedRatherThanALongRestWaitedForUpToTheLimit() throws Exception {
         pool = poolWithSpares(100, LONG_MS, 1);
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             Node node = node(server.address());
@@ -126,19 +126,20 @@
                 assertBody(sent, "on a connection of its own");
             }
             assertEquals(2, server.accepted.size());
-            assertEquals(Outcome.CONNECT_FAILED, send(node, 100).outcome(), "both rest, and there may be no more");
+            assertEquals(Outcome.CONNECT_FAILED, send(node, 100).outcome(), "both rest, and the limit is reached");
             assertEquals(2, server.accepted.size());
         }
     }
 
     @Test
-    void whatAnAttemptWaitedForIsCountedAsItsStage() throws Exception {
-        Map<Stage, List<Double>> took = new ConcurrentHashMap<>();
+    void theWaitOfAnAttemptIsRecordedByStage() throws Exception {
+        Map<Stage, List<Double>> durations = new ConcurrentHashMap<>();
         pool = poolWithSpares(100, 200, 0);
         pool.setTally(new Tally() {
             @Override
             public void stageCompleted(Stage stage, double ms) {
-                took.computeIfAbsent(stage, unseen -> new CopyOnWriteArrayList<>())
+                durations
+                        .computeIfAbsent(stage, unseen -> new CopyOnWriteArrayList<>())
                         .add(ms);
             }
         });
@@ -148,18 +149,18 @@
                 assertBody(sent, "the first opens, the second waits");
             }
             Thread.sleep(250);
-            assertBody(send(node, LONG_MS), "the third finds it rested");
+            assertBody(send(node, LONG_MS), "the third uses it rested");
         }
-        assertEquals(1, took.get(Stage.CONNECT).size());
-        assertEquals(1, took.get(Stage.REST).size());
-        assertTrue(took.get(Stage.REST).get(0) >= 190, "waited for " + took.get(Stage.REST));
-        assertEquals(1, took.get(Stage.REUSE).size());
-        assertEquals(3, took.get(Stage.FIRST_BYTE).size());
-        assertEquals(3, took.get(Stage.ANSWER_READ).size());
+        assertEquals(1, durations.get(Stage.CONNECT).size());
+        assertEquals(1, durations.get(Stage.REST).size());
+        assertTrue(durations.get(Stage.REST).get(0) >= 190, "waited for " + durations.get(Stage.REST));
+        assertEquals(1, durations.get(Stage.REUSE).size());
+        assertEquals(3, durations.get(Stage.FIRST_BYTE).size());
+        assertEquals(3, durations.get(Stage.ANSWER_READ).size());
     }
 
     @Test
-    void whatARequestDidNotNeedInTheEndIsUsedByTheNext() throws Exception {
+    void anUnneededConnectionIsUsedByTheNextRequest() throws Exception {
         pool = poolWithSpares(100, 30, 8);
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             Node node = node(server.address());
@@ -174,26 +175,26 @@
     }
 
     @Test
-    void atANodeThatRefusesFurtherConnectionsTheRestIsWaitedFor() throws Exception {
+    void whereANodeRefusesFurtherConnectionsTheRestIsWaitedFor() throws Exception {
         pool = poolWithSpares(100, 30, 8);
         ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Node node = node((InetSocketAddress) listener.getLocalSocketAddress());
         List<Sent> both = sendInTurn(node, LONG_MS);
         try (Socket only = listener.accept()) {
-            listener.close(); // from now on nobody accepts
+            listener.close(); // further connections are refused
             FakeServer.Connection connection = new FakeServer.Connection(only, new LinkedBlockingQueue<>());
             for (Sent sent : both) {
                 assertNotNull(connection.read());
                 connection.write(FakeServer.OK);
-                assertBody(sent, "on the one connection that there is");
+                assertBody(sent, "on the only connection");
             }
             assertEquals(2, onLoop(pool::opened), "a spare one was tried");
         }
     }
 
-    /** The node's table has one place left: what is opened beyond it costs one attempt, and then no other. */
+    /** The node accepts one more connection only: a spare one beyond it costs one attempt, and no further one. */
     @Test
-    void aNodeThatTurnsAwayIsLeftItsSpareConnections() throws Exception {
+    void spareConnectionsToANodeThatRejectsRequestsAreClosed() throws Exception {
         pool = poolWithSpares(100, 1000, 8);
         AtomicInteger accepted = new AtomicInteger();
         try (FakeServer server = new FakeServer(connection -> {
@@ -206,25 +207,25 @@
             List<Sent> both = sendInTurn(node, LONG_MS);
             assertBody(both.get(0), "the first");
             assertEquals(Outcome.REJECTED, both.get(1).outcome());
-            assertBody(send(node, LONG_MS), "the rest was waited for and no spare one opened again");
+            assertBody(send(node, LONG_MS), "the rest was waited for and no further spare one opened");
             assertEquals(2, server.accepted.size());
-            assertEquals(1, onLoop(pool::open), "and the one that was is closed");
+            assertEquals(1, onLoop(pool::open), "and the spare one is closed");
         }
     }
 
     @Test
-    void withoutRoomForSpareConnectionsTheRestIsWaitedFor() throws Exception {
+    void withoutCapacityForSpareConnectionsTheRestIsWaitedFor() throws Exception {
         pool = poolWithSpares(1, 30, 8);
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             for (Sent sent : sendInTurn(node(server.address()), LONG_MS)) {
-                assertBody(sent, "on the one connection that is allowed");
+                assertBody(sent, "on the only connection allowed");
             }
             assertEquals(1, server.accepted.size());
         }
     }
 
     @Test
-    void whatWaitsForAConnectionThatRestsEndsWithItsNodesDrainOrItsOwnTime() throws Exception {
+    void anAttemptThatWaitsForARestEndsWhenItsNodeDrains() throws Exception {
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             Node node = node(server.address());
             assertEquals(Outcome.OK, send(node, LONG_MS).outcome());
@@ -243,7 +244,7 @@
     }
 
     @Test
-    void aDrainedNodesIdleConnectionsClose() throws Exception {
+    void idleConnectionsToADrainedNodeAreClosed() throws Exception {
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             Node node = node(server.address());
             assertEquals(Outcome.OK, send(node, LONG_MS).outcome());
@@ -259,7 +260,7 @@
     }
 
     @Test
-    void whatTheClientHoldsOfTheDescriptorsIsNotOpened() throws Exception {
+    void descriptorsInUseByClientsLimitTheConnections() throws Exception {
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             onLoop(() -> {
                 for (int i = 0; i < 200; i++) {
@@ -277,7 +278,7 @@
     }
 
     @Test
-    void atItsBoundTheOldestIdleConnectionMakesRoomAndElseNothingIsSent() throws Exception {
+    void atTheLimitTheOldestIdleConnectionIsClosedAndOtherwiseNothingIsSent() throws Exception {
         pool = pool(1, 10_000);
         try (FakeServer quick = FakeServer.answering(FakeServer.OK);
                 FakeServer silent = new FakeServer(connection -> Thread.sleep(10_000))) {
--- a/src/test/java/ivybank/upstream/SecondAnswersTest.java
+++ b/src/test/java/ivybank/upstream/SecondAnswersTest.java
@@ -17,30 +17,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Nodes that answer a request twice: no request gets the answer of another one. */
+/** Tests nodes that answer a request twice: no request may get the answer of another one. */
 @Timeout(20)
 class SecondAnswersTest extends UpstreamPoolTestBase {
 
-    /** A connection rests for 30 ms after an answer; a second answer that is written later is not what the rest is for. */
-    private static final long LATEST_MS = 29;
+    /**
+     * A connection rests for 30 ms after an answer. The rest does not cover a second answer that is written later than this.
+     */
+    private static final long MAX_SECOND_ANSWER_DELAY_MS = 29;
 
-    private static final int MOST_PLAYS = 20;
+    private static final int MAX_TRIES = 20;
 
-    private static ClientRequest named(String id) {
+    private static ClientRequest requestWithId(String id) {
         return new ClientRequest(HttpMethod.GET, "/r", id, null, new byte[0], 0, 0, false, 0, 6000, null, null);
     }
 
-    private static void holdUp(CountDownLatch until, long leastMs) {
+    private static void stallLoop(CountDownLatch until, long minMs) {
         try {
             assertTrue(until.await(10, TimeUnit.SECONDS));
-            Thread.sleep(leastMs);
+            Thread.sleep(minMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Sends a second request after the first one's answer, in the same pass over the sockets, but longer after than any rest. */
-    private List<Sent> sendAfterHoldUp(Node node, CountDownLatch answered, CountDownLatch until) {
+    /**
+     * Sends a second request after the first one's answer, in the same pass of the event loop, which stalls in between for longer
+     * than any rest.
+     */
+    private List<Sent> sendAfterStall(Node node, CountDownLatch answered, CountDownLatch until) {
         Sent second = new Sent();
         second.attempt = attempt(node, second);
         Sent first = new Sent();
@@ -48,7 +53,7 @@
             first.ending.complete(ending);
             loop.execute(() -> {
                 answered.countDown();
-                holdUp(until, 40);
+                stallLoop(until, 40);
                 pool.send(second.attempt);
             });
         });
@@ -71,15 +76,15 @@
             connection.read(); // the next request, or the end
             connection.write(after);
         })) {
-            List<Sent> both = sendAfterHoldUp(node(server.address()), answered, late);
+            List<Sent> both = sendAfterStall(node(server.address()), answered, late);
             assertBody(both.get(0), "the first");
             assertBody(both.get(1), lateMs + " ms late, cut at " + before.length());
-            assertEquals(2, server.accepted.size(), "the one that answers twice is left");
+            assertEquals(2, server.accepted.size(), "the connection with two answers is not used again");
         }
     }
 
     @Test
-    void whatComesRightBehindAnAnswerIsNotTheNextRequestsAnswer() throws Exception {
+    void inputRightBehindAnAnswerIsNotTheNextRequestsAnswer() throws Exception {
         for (String surplus :
                 List.of(FakeServer.OK.replace("body", "evil"), "HTTP/1.1 200", "noise", "\r\n\r\nnoise")) {
             try (FakeServer server = new FakeServer(connection -> {
@@ -88,7 +93,7 @@
                 connection.read();
             })) {
                 Node node = node(server.address());
-                // The second request is sent as soon as the first one's answer is told, as the module may do.
+                // The second request is sent as soon as the first one has ended, as the decision module may do.
                 Sent second = new Sent();
                 second.attempt = attempt(node, second);
                 Sent first = new Sent();
@@ -106,12 +111,12 @@
     }
 
     @Test
-    void aSurplusThatComesLaterEndsTheIdleConnection() throws Exception {
+    void laterUnexpectedInputClosesTheIdleConnection() throws Exception {
         try (FakeServer server = new FakeServer(connection -> {
             connection.read();
             connection.write(FakeServer.OK);
             connection.requests.take(); // the request itself
-            connection.requests.take(); // the test's leave
+            connection.requests.take(); // the signal of the test
             connection.write("x");
             connection.read();
         })) {
@@ -125,21 +130,23 @@
     }
 
     /**
-     * The next request is sent as soon as the first one has been answered, and the second answer comes behind it. A server whose
-     * own clock says that it was later than {@link #LATEST_MS}, which is no second answer that the rest is for, is asked once more.
+     * Sends the next request as soon as the first one has been answered; the second answer follows. The try is repeated where the
+     * server's own clock says that it wrote later than {@link #MAX_SECOND_ANSWER_DELAY_MS}, which the rest does not cover.
      */
     @Test
     void aSecondAnswerSomeMillisecondsLateIsNotTheNextRequestsAnswer() throws Exception {
         for (int lateMs : new int[] {1, 5, 12, 25}) {
             boolean inTime = false;
-            for (int play = 0; play < MOST_PLAYS && !inTime; play++) {
+            for (int attemptNumber = 0; attemptNumber < MAX_TRIES && !inTime; attemptNumber++) {
                 inTime = secondAnswerIsNotTheNextRequests(lateMs);
             }
             assertTrue(inTime, "the server was too late each time, " + lateMs + " ms");
         }
     }
 
-    /** Whether the second answer was written in time; if so, that it was not taken for the next request's. */
+    /**
+     * Returns whether the second answer was written in time; if so, asserts that it was not taken for the next request's.
+     */
     private boolean secondAnswerIsNotTheNextRequests(int lateMs) throws Exception {
         AtomicLong tookNs = new AtomicLong(Long.MAX_VALUE);
         try (FakeServer server = new FakeServer(connection -> {
@@ -158,18 +165,18 @@
             second.attempt = attempt(node, second);
             Sent first = new Sent();
             first.attempt = new UpstreamAttempt(node, request(HttpMethod.POST, new byte[1]), LONG_MS, ending -> {
-                pool.send(second.attempt); // at once, as the module may do
+                pool.send(second.attempt); // at once, as the decision module may do
                 first.ending.complete(ending);
             });
             loop.execute(() -> pool.send(first.attempt));
             assertEquals(Outcome.OK, first.outcome());
             Outcome outcome = second.outcome();
-            if (tookNs.get() > TimeUnit.MILLISECONDS.toNanos(LATEST_MS)) {
+            if (tookNs.get() > TimeUnit.MILLISECONDS.toNanos(MAX_SECOND_ANSWER_DELAY_MS)) {
                 return false;
             }
             assertEquals(Outcome.OK, outcome);
             assertEquals("body", new String(second.ending.get().body(), StandardCharsets.UTF_8), lateMs + " ms late");
-            assertEquals(2, server.accepted.size(), "the one that answers twice is left");
+            assertEquals(2, server.accepted.size(), "the connection with two answers is not used again");
             return true;
         }
     }
@@ -194,11 +201,11 @@
     }
 
     /**
-     * The event loop is held up until the connection has rested and the second answer, or a part of it, stands in its socket:
-     * the rest alone is no guard then.
+     * The event loop stalls until the connection has rested and the second answer, or a part of it, is buffered in its socket: then
+     * the rest alone does not protect the next request.
      */
     @Test
-    void aSecondAnswerThatNobodyHasReadIsFoundBeforeTheNextRequestIsWritten() throws Exception {
+    void anUnreadSecondAnswerIsFoundBeforeTheNextRequestIsWritten() throws Exception {
         String evil = FakeServer.OK.replace("body", "evil");
         for (int lateMs : new int[] {0, 1, 10, 24, 29}) {
             for (int cutAt : new int[] {1, evil.length() / 2, evil.length()}) {
@@ -207,9 +214,11 @@
         }
     }
 
-    /** The next request must not go out on a connection that its node has ended, though nobody has read that yet. */
+    /**
+     * The next request must not be sent on a connection that its node has closed, even if the close has not been read yet.
+     */
     @Test
-    void anEndThatNobodyHasReadIsFoundBeforeTheNextRequestIsWritten() throws Exception {
+    void anUnreadCloseIsFoundBeforeTheNextRequestIsWritten() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         try (FakeServer server = new FakeServer(connection -> {
             connection.read();
@@ -219,14 +228,14 @@
                 ended.countDown();
             }
         })) {
-            List<Sent> both = sendAfterHoldUp(node(server.address()), new CountDownLatch(1), ended);
+            List<Sent> both = sendAfterStall(node(server.address()), new CountDownLatch(1), ended);
             assertBody(both.get(0), "the first");
             assertBody(both.get(1), "on a new connection");
         }
     }
 
     @Test
-    void ofABurstEachRequestGetsItsOwnAnswer() throws Exception {
+    void eachRequestOfABurstGetsItsOwnAnswer() throws Exception {
         pool = poolWithSpares(100, 30, 8);
         try (FakeServer server = new FakeServer(connection -> {
             for (String request = connection.read(); request != null; request = connection.read()) {
@@ -239,8 +248,8 @@
                 List<Sent> all = new ArrayList<>();
                 for (int i = 0; i < 20; i++) {
                     Sent sent = new Sent();
-                    sent.attempt =
-                            new UpstreamAttempt(node, named("r" + burst + "x" + i), LONG_MS, sent.ending::complete);
+                    sent.attempt = new UpstreamAttempt(
+                            node, requestWithId("r" + burst + "x" + i), LONG_MS, sent.ending::complete);
                     all.add(sent);
                 }
                 loop.execute(() -> all.forEach(sent -> pool.send(sent.attempt)));
--- a/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
+++ b/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What becomes of an attempt on a real socket, ending by ending, by the table of the protocol. */
+/** Tests the outcome of an attempt on a real socket for each way to end, by the table of the protocol. */
 @Timeout(20)
 class UpstreamOutcomesTest extends UpstreamPoolTestBase {
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aServedAnswerComesWholeWithItsLoadReport() throws Exception {
+    void aSuccessfulAnswerIsCompleteWithItsLoadReport() throws Exception {
         try (FakeServer server = FakeServer.answering("HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"
                 + "X-Load-Report: TEXT rps=7.5, cpu=0.25, other=1\r\nContent-Length: 4\r\n\r\nbody")) {
             long fromNanos = System.nanoTime();
@@ -59,8 +59,8 @@
             String request = server.nextRequest();
             assertTrue(request.startsWith("POST /report-read?obj=a%20b&x=1 HTTP/1.1\r\n"), request);
             assertTrue(request.contains("X-Call-Id: c1\r\n"), request);
-            int toldMs = Integer.parseInt(request.replaceAll("(?s).*X-Budget-Ms: (\\d+)\r\n.*", "$1"));
-            assertTrue(toldMs >= 1234 - tookMs && toldMs <= 1234, "what is left of its time: " + request);
+            int budgetMs = Integer.parseInt(request.replaceAll("(?s).*X-Budget-Ms: (\\d+)\r\n.*", "$1"));
+            assertTrue(budgetMs >= 1234 - tookMs && budgetMs <= 1234, "the remaining time of the attempt: " + request);
             assertTrue(request.endsWith("\r\n\r\nhello"), request);
         }
     }
@@ -88,17 +88,17 @@
         assertEquals(Outcome.REJECTED, outcomeOf(FakeServer.REJECTED));
         assertEquals(Outcome.REJECTED, outcomeOf(FakeServer.REJECTED.replace("503", "504")));
         assertEquals(Outcome.ERROR, outcomeOf("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"));
-        // The proof counts with 503 and 504 only.
+        // The header that proves a rejection is valid with 503 and 504 only.
         assertEquals(Outcome.ERROR, outcomeOf(FakeServer.REJECTED.replace("503", "500")));
         assertEquals(Outcome.ERROR, outcomeOf("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"));
         assertEquals(Outcome.ERROR, outcomeOf("HTTP/1.1 302 There\r\nLocation: /\r\nContent-Length: 0\r\n\r\n"));
     }
 
     @Test
-    void aTruncatedOversizedOrGarbledAnswerIsNotServed() throws Exception {
+    void aTruncatedOversizedOrMalformedAnswerIsNotServed() throws Exception {
         assertEquals(Outcome.RESET, outcomeOfBroken("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"));
         assertEquals(Outcome.RESET, outcomeOfBroken("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbo"));
-        assertEquals(Outcome.RESET, outcomeOfBroken("HTTP/1.1 200 OK\r\n\r\nbody"), "no end was announced");
+        assertEquals(Outcome.RESET, outcomeOfBroken("HTTP/1.1 200 OK\r\n\r\nbody"), "the end was not announced");
         assertEquals(Outcome.RESET, outcomeOfBroken(""));
         assertEquals(Outcome.RESET, outcomeOfBroken("no such thing\r\n\r\n"));
         assertEquals(
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void anAnswerWhoseEndIsNotClearFailsAtOnceAndMayHaveRun() throws Exception {
+    void anAnswerWithoutAClearEndFailsAtOnceAndMayHaveRun() throws Exception {
         for (String head : List.of(
                 "Content-Length: 4\r\nContent-Length: 4",
                 "Content-Length: 4\r\nContent-Length: 5",
@@ -120,7 +120,7 @@
                 "X-Other: 1",
                 "no colon here\r\nContent-Length: 4",
                 "X-Other : 1\r\nContent-Length: 4")) {
-            // The connection stays open: only what was read can end the attempt before its time-out.
+            // The connection stays open, so only the input can end the attempt before its timeout.
             assertEquals(Outcome.RESET, outcomeOf("HTTP/1.1 200 OK\r\n" + head + "\r\n\r\nbody"), head);
         }
         assertEquals(Outcome.RESET, outcomeOf("HTTP/1.1 103 Hints\r\n\r\n".repeat(1000)));
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void aReportThatNoLoadCanBeIsNone() {
+    void anInvalidLoadReportIsIgnored() {
         LoadReport reports = new LoadReport(List.of("rps", "cpu"));
         assertArrayEquals(new double[] {7.5, 0.25}, reports.read(List.of("TEXT cpu=0.25, rps=7.5, other=x")));
         for (String text : List.of(
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aBreakAfterTheLastByteMayHaveRun() throws Exception {
+    void afterABreakBehindTheLastByteTheRequestMayHaveRun() throws Exception {
         try (FakeServer server = new FakeServer(connection -> {
             connection.read();
             connection.reset();
@@ -156,8 +156,8 @@
     }
 
     @Test
-    void aBreakBeforeTheLastByteHasNotRun() throws Exception {
-        // The body is more than the buffers of both sides hold, so its last byte is still here at the break.
+    void afterABreakBeforeTheLastByteTheRequestHasNotRun() throws Exception {
+        // The body exceeds the buffers of both sides, so its last byte has not been sent at the break.
         byte[] body = new byte[32 << 20];
         try (FakeServer server = new FakeServer(connection -> {
             Thread.sleep(100);
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aTimeOutBeforeTheLastByteProvesThatNothingRan() throws Exception {
+    void aTimeoutBeforeTheLastByteProvesThatTheRequestHasNotRun() throws Exception {
         byte[] body = new byte[32 << 20];
         try (FakeServer server = new FakeServer(connection -> Thread.sleep(10_000))) {
             assertEquals(
@@ -182,27 +182,27 @@
     }
 
     @Test
-    void aRefusedConnectionHasNotRun() throws Exception {
+    void aRequestWhoseConnectionIsRefusedHasNotRun() throws Exception {
         assertEquals(
                 Outcome.CONNECT_FAILED, send(node(FakeServer.nobody()), LONG_MS).outcome());
     }
 
     @Test
-    void aConnectionThatNeverComesUpEndsWithoutTheRequest() throws Exception {
+    void anAttemptWhoseConnectionNeverComesUpFails() throws Exception {
         try (LateListener full = new LateListener()) {
             long startedNs = System.nanoTime();
             assertEquals(
                     Outcome.CONNECT_FAILED, send(node(full.address()), LONG_MS).outcome());
-            assertTrue(System.nanoTime() - startedNs < TimeUnit.MILLISECONDS.toNanos(3000), "the connect time-out");
-            assertEquals(Outcome.CONNECT_FAILED, send(node(full.address()), 50).outcome(), "its own time-out");
+            assertTrue(System.nanoTime() - startedNs < TimeUnit.MILLISECONDS.toNanos(3000), "the connect timeout");
+            assertEquals(Outcome.CONNECT_FAILED, send(node(full.address()), 50).outcome(), "its own timeout");
         }
     }
 
     @Test
-    void aSilentPeerTimesOutOnceAndIsLeft() throws Exception {
+    void anAttemptAtASilentNodeTimesOutOnceAndClosesItsConnection() throws Exception {
         try (FakeServer server = new FakeServer(connection -> {
             connection.read();
-            assertNull(connection.read(), "the connection is closed, for that calls the attempt off");
+            assertNull(connection.read(), "the connection is closed to cancel the attempt");
             connection.requests.add("closed");
         })) {
             Sent sent = send(node(server.address()), 100);
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void aCancelledAttemptEndsOnceByClosing() throws Exception {
+    void aCancelledAttemptEndsOnceAndClosesItsConnection() throws Exception {
         try (FakeServer server = new FakeServer(connection -> {
             connection.read();
             connection.read();
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void aNodeThatDrainsWhileAConnectionComesUpIsSentNothing() throws Exception {
+    void nothingIsSentToANodeThatDrainsWhileAConnectionComesUp() throws Exception {
         try (FakeServer server = FakeServer.answering(FakeServer.OK)) {
             Node node = node(server.address());
             Sent sent = onLoop(() -> {
@@ -252,10 +252,10 @@
         }
     }
 
-    /** A node begins with the last byte: what answers before that is no answer to this request. */
+    /** A node starts on a request with its last byte, so an earlier answer does not belong to this request. */
     @Test
-    void anAnswerBeforeItsRequestHasLeftIsNotServed() throws Exception {
-        byte[] body = new byte[32 << 20]; // more than the buffers of both sides hold
+    void anAnswerBeforeItsRequestIsWrittenIsNotServed() throws Exception {
+        byte[] body = new byte[32 << 20]; // exceeds the buffers of both sides
         try (FakeServer server = new FakeServer(connection -> {
             connection.write(FakeServer.OK);
             Thread.sleep(10_000);
@@ -266,7 +266,7 @@
     }
 
     @Test
-    void aNodeThatMovesWhileAConnectionComesUpIsSentToWhereItIsNow() throws Exception {
+    void anAttemptFollowsANodeThatMovesWhileAConnectionComesUp() throws Exception {
         try (FakeServer old = FakeServer.answering(FakeServer.OK);
                 FakeServer next = FakeServer.answering(FakeServer.OK)) {
             Node node = node(old.address());
@@ -283,9 +283,9 @@
         }
     }
 
-    /** No other time runs for it any more: without this its client would wait for ever. */
+    /** Guards against a client that waits forever: no other timeout runs once an answer is being forwarded. */
     @Test
-    void aLongAnswerThatStandsStillWhileItIsPassedOnEndsBroken() throws Exception {
+    void aLongAnswerThatStallsWhileItIsForwardedEndsIncomplete() throws Exception {
         pool = new UpstreamPool(
                 loop,
                 clock,
@@ -325,7 +325,7 @@
                     });
             loop.execute(() -> pool.send(sent.attempt));
             assertEquals(Outcome.RESET, sent.outcome());
-            assertFalse(rest.get(1, TimeUnit.SECONDS), "the client can tell that it is not whole");
+            assertFalse(rest.get(1, TimeUnit.SECONDS), "the client can detect that it is incomplete");
         }
     }
 }
--- a/src/test/java/ivybank/upstream/UpstreamPoolTestBase.java
+++ b/src/test/java/ivybank/upstream/UpstreamPoolTestBase.java
@@ -99,9 +99,12 @@
         });
     }
 
-    /** Spare connections as soon as one is of use; what rests would be waited for until the test's end. */
-    UpstreamPool poolWithSpares(int connections, double restMs, int mostSpares) {
-        ConnectionReusePolicy.Limits reuse = new ConnectionReusePolicy.Limits(restMs, 1, mostSpares, 60_000, 0);
+    /**
+     * Returns a pool that opens a spare connection whenever one helps; with a long rest, resting ones would be waited for until the
+     * end of the test.
+     */
+    UpstreamPool poolWithSpares(int connections, double restMs, int maxSparesPerNode) {
+        ConnectionReusePolicy.Limits reuse = new ConnectionReusePolicy.Limits(restMs, 1, maxSparesPerNode, 60_000, 0);
         return new UpstreamPool(
                 loop,
                 clock,
@@ -112,7 +115,7 @@
                 log);
     }
 
-    /** Sends the second request as soon as the first one is answered, as the module may do. */
+    /** Sends the second request as soon as the first one has ended, as the decision module may do. */
     List<Sent> sendInTurn(Node node, double timeoutMs) {
         Sent second = new Sent();
         second.attempt =
