--- a/src/main/java/ivybank/handover/HandoverParticipant.java
+++ b/src/main/java/ivybank/handover/HandoverParticipant.java
@@ -3,20 +3,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decisions that can be handed over between the processes of one sidecar. Nodes are named by the module's numbers. */
+/**
+ * A decision module whose state can be handed over between the processes of one sidecar. Nodes are identified by the numbers of
+ * the decision module.
+ */
 public interface HandoverParticipant {
 
-    /** What was learned so far, for the process that comes after this one. */
+    /** Returns what has been learned so far, for the next process. */
     default LearnedState<Integer> learned() {
         return new LearnedState<>(1, 0, List.of(), Map.of(), Map.of());
     }
 
     /**
-     * Takes over what another process has learned, as far as it is believed (0 to 1). Of nodes that are not listed nothing
-     * is kept; classes of another number than the own ones say that only the nodes count.
+     * Restores what another process has learned, weighted by the confidence in it (0 to 1). State of nodes that are not listed is
+     * dropped. Where the number of classes differs, only the state of nodes is restored.
      */
-    default void recall(LearnedState<Integer> other, double trust) {}
+    default void recall(LearnedState<Integer> other, double confidence) {}
 
-    /** Tells what another process has out by node, and this one's part of the requests that both have in hand. */
-    default void setSiblingLoad(Map<Integer, Integer> out, double part) {}
+    /**
+     * Sets the attempts that the other processes of the sidecar have in flight, by node, and this process's share of the requests that
+     * all of them are handling.
+     */
+    default void setSiblingLoad(Map<Integer, Integer> inFlight, double share) {}
 }
--- a/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -9,61 +9,63 @@
 import java.util.zip.CRC32C;
 
 /**
- * A snapshot as bytes: a mark, the version of the form, the length of what follows, that, and the CRC-32C of all before it.
- * What is damaged, foreign or of another version is told as {@link Unreadable}, never taken in part.
+ * The binary form of a snapshot: a magic number, the format version, the length of the body, the body, and the CRC-32C of all
+ * preceding bytes. Corrupt data, foreign data and other versions raise {@link UnreadableSnapshotException}; nothing is read in
+ * part.
  */
 public final class HandoverSnapshotCodec {
 
-    /** Bytes that hold no memory of this version; the message says why. */
-    public static final class Unreadable extends Exception {
+    /** Thrown for bytes that hold no snapshot of this version; the message gives the reason. */
+    public static final class UnreadableSnapshotException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unreadable(String why) {
-            super(why);
+        UnreadableSnapshotException(String reason) {
+            super(reason);
         }
     }
 
-    private static final int MARK = 0x49564d59;
+    private static final int MAGIC = 0x49564d59;
     private static final short VERSION = 2;
-    private static final int HEAD_BYTES = 4 + 2 + 4;
-    private static final int SUM_BYTES = 4;
-    /** More than any fleet needs: some 60 bytes for each node. */
-    public static final int MOST_BYTES = 1 << 20;
+    private static final int HEADER_BYTES = 4 + 2 + 4;
+    private static final int CHECKSUM_BYTES = 4;
+    /** More than any fleet needs, at about 60 bytes for each node. */
+    public static final int MAX_BYTES = 1 << 20;
 
-    private static final int MOST_NODES = 8192;
-    private static final int LONGEST_ID = 512;
+    private static final int MAX_NODES = 8192;
+    private static final int MAX_ID_BYTES = 512;
 
     private HandoverSnapshotCodec() {}
 
     /**
-     * Writes it in the layout of the class comment.
+     * Encodes a snapshot in the layout described above.
      *
-     * @param memory of which nodes beyond the most that fit are left out
+     * @param snapshot the snapshot, whose nodes beyond the maximum are left out
      */
-    public static byte[] write(HandoverSnapshot memory) {
-        LearnedState<String> learned = memory.learned();
+    public static byte[] write(HandoverSnapshot snapshot) {
+        LearnedState<String> learned = snapshot.learned();
         List<Map.Entry<byte[], LearnedState.NodeState>> nodes = new ArrayList<>();
         int bytes = 0;
         for (Map.Entry<String, LearnedState.NodeState> node : learned.nodes().entrySet()) {
             byte[] id = node.getKey().getBytes(StandardCharsets.UTF_8);
-            if (id.length <= LONGEST_ID && nodes.size() < MOST_NODES) {
+            if (id.length <= MAX_ID_BYTES && nodes.size() < MAX_NODES) {
                 nodes.add(Map.entry(id, node.getValue()));
                 bytes += id.length + 40;
             }
         }
-        ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES
-                + SUM_BYTES
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES
+                + CHECKSUM_BYTES
                 + 64
                 + bytes
                 + 20 * learned.classes().size()
                 + 12 * learned.maxRateByKind().size());
-        out.putInt(MARK).putShort(VERSION).putInt(0);
-        out.putDouble(memory.writtenMs()).putInt(memory.inHand()).putInt(memory.descriptors());
+        out.putInt(MAGIC).putShort(VERSION).putInt(0);
+        out.putDouble(snapshot.writtenMs()).putInt(snapshot.inHand()).putInt(snapshot.descriptors());
         out.putDouble(learned.admittedShare()).putDouble(learned.extraAttempts());
         out.putInt(learned.classes().size());
         learned.classes()
-                .forEach(its ->
-                        out.putDouble(its.typicalMs()).putDouble(its.quietMs()).putInt(its.answers()));
+                .forEach(state -> out.putDouble(state.typicalMs())
+                        .putDouble(state.quietMs())
+                        .putInt(state.answers()));
         out.putInt(learned.maxRateByKind().size());
         learned.maxRateByKind().forEach((kind, perMs) -> out.putInt(kind).putDouble(perMs));
         out.putInt(nodes.size());
@@ -76,37 +78,39 @@
                     .putFloat((float) node.window());
             out.putInt(node.inFlight()).put((byte) (node.aside() ? 1 : 0));
         }
-        out.putInt(HEAD_BYTES - 4, out.position() - HEAD_BYTES);
-        out.putInt((int) sum(out.array(), out.position()));
+        out.putInt(HEADER_BYTES - 4, out.position() - HEADER_BYTES);
+        out.putInt((int) checksum(out.array(), out.position()));
         byte[] written = new byte[out.position()];
         out.flip().get(written);
         return written;
     }
 
-    public static HandoverSnapshot read(byte[] bytes) throws Unreadable {
+    /** Decodes a snapshot. */
+    public static HandoverSnapshot read(byte[] bytes) throws UnreadableSnapshotException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        if (bytes.length < HEAD_BYTES + SUM_BYTES || in.getInt() != MARK) {
-            throw new Unreadable(bytes.length == 0 ? "it is empty" : "it holds something else");
+        if (bytes.length < HEADER_BYTES + CHECKSUM_BYTES || in.getInt() != MAGIC) {
+            throw new UnreadableSnapshotException(bytes.length == 0 ? "it is empty" : "it holds something else");
         }
         short version = in.getShort();
         if (version != VERSION) {
-            throw new Unreadable("it is of version " + version + ", and this program reads " + VERSION);
+            throw new UnreadableSnapshotException(
+                    "it is of version " + version + ", and this program reads " + VERSION);
         }
         int length = in.getInt();
-        if (length != bytes.length - HEAD_BYTES - SUM_BYTES) {
-            throw new Unreadable("it is cut off or too long");
+        if (length != bytes.length - HEADER_BYTES - CHECKSUM_BYTES) {
+            throw new UnreadableSnapshotException("its length is wrong");
         }
-        if ((int) sum(bytes, HEAD_BYTES + length) != in.getInt(HEAD_BYTES + length)) {
-            throw new Unreadable("its checksum is wrong");
+        if ((int) checksum(bytes, HEADER_BYTES + length) != in.getInt(HEADER_BYTES + length)) {
+            throw new UnreadableSnapshotException("its checksum is wrong");
         }
         try {
-            return body(in);
+            return readBody(in);
         } catch (RuntimeException e) {
-            throw new Unreadable("its figures make no sense");
+            throw new UnreadableSnapshotException("its values are invalid");
         }
     }
 
-    private static HandoverSnapshot body(ByteBuffer in) {
+    private static HandoverSnapshot readBody(ByteBuffer in) {
         double writtenMs = in.getDouble();
         int inHand = in.getInt();
         int descriptors = in.getInt();
@@ -133,9 +137,9 @@
                 writtenMs, inHand, descriptors, new LearnedState<>(admitted, extra, classes, nodes, carried));
     }
 
-    private static long sum(byte[] bytes, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, 0, length);
-        return sum.getValue();
+    private static long checksum(byte[] bytes, int length) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(bytes, 0, length);
+        return checksum.getValue();
     }
 }
--- a/src/main/java/ivybank/handover/HandoverSnapshotFiles.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotFiles.java
@@ -13,20 +13,25 @@
 import java.util.function.Consumer;
 
 /**
- * A file of each process of a sidecar in the folder that they share, replaced whole. Used by one thread of a process.
+ * The snapshot files of the processes of a sidecar, in the folder that they share. Each process replaces its own file as a whole.
+ * Used by one thread of a process.
  */
 public final class HandoverSnapshotFiles {
 
-    private static final String FORM = "ivybank-*.memory";
-    private static final int MOST_FILES = 16;
+    private static final String FILE_PATTERN = "ivybank-*.memory";
+    private static final int MAX_FILES = 16;
 
     private final Path folder;
     private final Path own;
     private final Path next;
     private final Consumer<String> log;
-    private final Set<Path> told = new HashSet<>();
+    private final Set<Path> reported = new HashSet<>();
 
-    /** @param log gets a line for each file that can't be used */
+    /**
+     * Creates the files of a process.
+     *
+     * @param log receives a line for each file that can't be used
+     */
     public HandoverSnapshotFiles(Path folder, long process, Consumer<String> log) {
         this.folder = folder;
         this.log = log;
@@ -34,21 +39,23 @@
         next = folder.resolve("ivybank-" + process + ".memory.next");
     }
 
-    /** Replaces this process's file, so that a reader has the one before or this one. */
-    public void write(HandoverSnapshot memory) throws IOException {
-        Files.write(next, HandoverSnapshotCodec.write(memory));
+    /**
+     * Replaces the file of this process atomically, so that a reader finds either the previous snapshot or this one.
+     */
+    public void write(HandoverSnapshot snapshot) throws IOException {
+        Files.write(next, HandoverSnapshotCodec.write(snapshot));
         Files.move(next, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /**
-     * What the other processes have left, those that have ended too; what can't be read is told once and, like what is too
-     * old, removed.
+     * Returns the snapshots of the other processes, including those that have ended. Unreadable files are logged once; they are
+     * removed, and so are expired ones.
      */
     public List<HandoverSnapshot> others(double nowMs) throws IOException {
         List<HandoverSnapshot> others = new ArrayList<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FORM)) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PATTERN)) {
             for (Path file : files) {
-                if (!file.equals(own) && others.size() < MOST_FILES) {
+                if (!file.equals(own) && others.size() < MAX_FILES) {
                     read(file, nowMs, others);
                 }
             }
@@ -58,19 +65,19 @@
 
     private void read(Path file, double nowMs, List<HandoverSnapshot> into) throws IOException {
         try {
-            if (Files.size(file) > HandoverSnapshotCodec.MOST_BYTES) {
-                throw new HandoverSnapshotCodec.Unreadable("it is too large");
+            if (Files.size(file) > HandoverSnapshotCodec.MAX_BYTES) {
+                throw new HandoverSnapshotCodec.UnreadableSnapshotException("it is too large");
             }
-            HandoverSnapshot memory = HandoverSnapshotCodec.read(Files.readAllBytes(file));
-            if (memory.confidence(nowMs) > 0) {
-                into.add(memory);
+            HandoverSnapshot snapshot = HandoverSnapshotCodec.read(Files.readAllBytes(file));
+            if (snapshot.confidence(nowMs) > 0) {
+                into.add(snapshot);
             } else {
-                Files.deleteIfExists(file); // a process that lives writes anew
+                Files.deleteIfExists(file); // a running process writes it again
             }
         } catch (NoSuchFileException e) {
             return; // its process has ended meanwhile
-        } catch (HandoverSnapshotCodec.Unreadable e) {
-            if (told.add(file)) {
+        } catch (HandoverSnapshotCodec.UnreadableSnapshotException e) {
+            if (reported.add(file)) {
                 log.accept(file + " is of no use, and removed: " + e.getMessage());
             }
             Files.deleteIfExists(file);
--- a/src/main/java/ivybank/handover/LearnedState.java
+++ b/src/main/java/ivybank/handover/LearnedState.java
@@ -7,14 +7,16 @@
 import java.util.function.ToDoubleBiFunction;
 
 /**
- * What the decisions of a process have learned, for the one that comes after it. Latencies in milliseconds, rates in
- * attempts a millisecond, times as Unix time in milliseconds.
+ * What the decision module of a process has learned, for the next process. Latencies are in milliseconds, rates in attempts per
+ * millisecond, and times in Unix milliseconds.
  *
- * @param admittedShare the part of what is offered that is let in
- * @param extraAttempts further attempts that may still be made
- * @param classes of requests, in the order of the settings
- * @param nodes by what names a node: the module's number within a process, discovery's id between two
- * @param maxRateByKind by kind, the most that a warm node was seen to carry
+ * @param <K> the type of a node's key: the number in the decision module within a process, the id from discovery between
+ *     processes
+ * @param admittedShare the share of the offered requests that is admitted
+ * @param extraAttempts the number of additional attempts that may still be made
+ * @param classes the state of the request classes, in the order of the settings
+ * @param nodes the state of the nodes by key
+ * @param maxRateByKind the highest rate that a warm node was observed to carry, by kind
  */
 public record LearnedState<K>(
         double admittedShare,
@@ -23,16 +25,19 @@
         Map<K, NodeState> nodes,
         Map<Integer, Double> maxRateByKind) {
 
-    /** The running median of a class's latencies, the same while all was quiet (0: not known), and from how many answers. */
+    /**
+     * The state of a request class: the running median of its latencies, that median under light load (0: unknown), and the number
+     * of answers that it is based on.
+     */
     public record ClassState(double typicalMs, double quietMs, int answers) {}
 
     /**
-     * What was learned of one node since its start at {@code startedMs} (0: long ago).
+     * The state of one node since its start at {@code startedMs} (0: long ago).
      *
-     * @param rank its place in the random order of which the subset is the beginning
-     * @param share its part of the draw; 0 where it was not drawn from
-     * @param window attempts that may be out there at once
-     * @param inFlight attempts that are out there now
+     * @param rank its position in the random order whose first members are the subset
+     * @param share its share of the load; 0 where it was not selected from
+     * @param window the maximum number of attempts in flight
+     * @param inFlight the current number of attempts in flight
      * @param aside whether it was set aside
      */
     public record NodeState(double startedMs, double rank, double share, double window, int inFlight, boolean aside) {
@@ -43,36 +48,39 @@
                     && share >= 0
                     && share <= 1
                     && window >= 0
-                    && window <= MOST_OUT
+                    && window <= MAX_WINDOW
                     && inFlight >= 0)) {
-                throw new IllegalArgumentException("not what a node is remembered by");
+                throw new IllegalArgumentException("invalid state of a node");
             }
         }
     }
 
-    /** No window is this large. */
-    public static final double MOST_OUT = 1e6;
+    /** The upper bound of a valid window. */
+    public static final double MAX_WINDOW = 1e6;
 
     public LearnedState {
         classes = List.copyOf(classes);
         nodes = Map.copyOf(nodes);
         maxRateByKind = Map.copyOf(maxRateByKind);
         if (!(admittedShare > 0 && admittedShare <= 1) || !(extraAttempts >= 0)) {
-            throw new IllegalArgumentException("not what a sidecar is remembered by");
+            throw new IllegalArgumentException("invalid state of a sidecar");
         }
-        for (ClassState its : classes) {
-            if (!(its.typicalMs > 0 && its.typicalMs < Double.MAX_VALUE && its.quietMs >= 0 && its.answers >= 0)) {
-                throw new IllegalArgumentException("not what a class is remembered by");
+        for (ClassState state : classes) {
+            if (!(state.typicalMs > 0
+                    && state.typicalMs < Double.MAX_VALUE
+                    && state.quietMs >= 0
+                    && state.answers >= 0)) {
+                throw new IllegalArgumentException("invalid state of a request class");
             }
         }
     }
 
-    /** Only what was learned of nodes. */
+    /** Returns this state without the request classes and the rates. */
     public LearnedState<K> nodesOnly() {
         return new LearnedState<>(admittedShare, extraAttempts, List.of(), nodes, Map.of());
     }
 
-    /** The same with other starts of the nodes, by their names and what stands here. */
+    /** Returns this state with other starts of the nodes, computed from their keys and the current starts. */
     public LearnedState<K> withStarts(ToDoubleBiFunction<K, Double> start) {
         Map<K, NodeState> changed = new HashMap<>();
         nodes.forEach((key, node) -> changed.put(
@@ -87,13 +95,13 @@
         return new LearnedState<>(admittedShare, extraAttempts, classes, changed, maxRateByKind);
     }
 
-    /** The same with other names of the nodes; those that get no name are left out. */
-    public <L> LearnedState<L> withKeys(Function<K, L> name) {
+    /** Returns this state with other keys of the nodes; nodes without a new key are left out. */
+    public <L> LearnedState<L> withKeys(Function<K, L> newKey) {
         Map<L, NodeState> renamed = new HashMap<>();
         nodes.forEach((key, node) -> {
-            L other = name.apply(key);
-            if (other != null) {
-                renamed.put(other, node);
+            L renamedKey = newKey.apply(key);
+            if (renamedKey != null) {
+                renamed.put(renamedKey, node);
             }
         });
         return new LearnedState<>(admittedShare, extraAttempts, classes, renamed, maxRateByKind);
--- a/src/main/java/ivybank/handover/package-info.java
+++ b/src/main/java/ivybank/handover/package-info.java
@@ -1,2 +1,2 @@
-/** State that one process of a sidecar leaves for the next. */
+/** The state that one process of a sidecar hands over to the next. */
 package ivybank.handover;
--- a/src/test/java/ivybank/handover/HandoverSnapshotTest.java
+++ b/src/test/java/ivybank/handover/HandoverSnapshotTest.java
@@ -22,7 +22,7 @@
 
     private static final double NOW_MS = 1.7e12;
 
-    private static HandoverSnapshot memory(double writtenMs) {
+    private static HandoverSnapshot snapshot(double writtenMs) {
         return new HandoverSnapshot(
                 writtenMs,
                 7,
@@ -40,96 +40,101 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws Exception {
-        assertEquals(memory(NOW_MS), HandoverSnapshotCodec.read(HandoverSnapshotCodec.write(memory(NOW_MS))));
+    void aWrittenSnapshotIsReadBack() throws Exception {
+        assertEquals(snapshot(NOW_MS), HandoverSnapshotCodec.read(HandoverSnapshotCodec.write(snapshot(NOW_MS))));
     }
 
     @Test
-    void whatIsCutAtAnyByteOrHasAnyByteFlippedIsNotBelieved() {
-        byte[] whole = HandoverSnapshotCodec.write(memory(NOW_MS));
+    void aTruncatedOrCorruptSnapshotIsRejected() {
+        byte[] whole = HandoverSnapshotCodec.write(snapshot(NOW_MS));
         for (int i = 0; i < whole.length; i++) {
             byte[] cut = Arrays.copyOf(whole, i);
-            assertThrows(HandoverSnapshotCodec.Unreadable.class, () -> HandoverSnapshotCodec.read(cut), "cut at " + i);
+            assertThrows(
+                    HandoverSnapshotCodec.UnreadableSnapshotException.class,
+                    () -> HandoverSnapshotCodec.read(cut),
+                    "cut at " + i);
             for (int bit = 0; bit < 8; bit++) {
                 byte[] flipped = whole.clone();
                 flipped[i] ^= (byte) (1 << bit);
                 assertThrows(
-                        HandoverSnapshotCodec.Unreadable.class,
+                        HandoverSnapshotCodec.UnreadableSnapshotException.class,
                         () -> HandoverSnapshotCodec.read(flipped),
                         "flipped at " + i);
             }
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
-        assertThrows(HandoverSnapshotCodec.Unreadable.class, () -> HandoverSnapshotCodec.read(longer));
+        assertThrows(HandoverSnapshotCodec.UnreadableSnapshotException.class, () -> HandoverSnapshotCodec.read(longer));
     }
 
     @Test
-    void figuresThatMakeNoSenseAreNotBelievedThoughTheSumIsRight() throws Exception {
-        byte[] whole = HandoverSnapshotCodec.write(memory(NOW_MS));
+    void invalidValuesAreRejectedEvenWithAValidChecksum() throws Exception {
+        byte[] whole = HandoverSnapshotCodec.write(snapshot(NOW_MS));
         int length = whole.length - 4;
         for (int i = 10; i < length; i++) {
-            byte[] odd = whole.clone();
-            odd[i] = (byte) 0xff;
-            CRC32C sum = new CRC32C();
-            sum.update(odd, 0, length);
-            ByteBuffer.wrap(odd).putInt(length, (int) sum.getValue());
+            byte[] changed = whole.clone();
+            changed[i] = (byte) 0xff;
+            CRC32C checksum = new CRC32C();
+            checksum.update(changed, 0, length);
+            ByteBuffer.wrap(changed).putInt(length, (int) checksum.getValue());
             try {
-                HandoverSnapshot read = HandoverSnapshotCodec.read(odd);
+                HandoverSnapshot read = HandoverSnapshotCodec.read(changed);
                 assertTrue(read.learned().admittedShare() > 0 && read.learned().admittedShare() <= 1);
-            } catch (HandoverSnapshotCodec.Unreadable e) {
-                assertEquals("its figures make no sense", e.getMessage());
+            } catch (HandoverSnapshotCodec.UnreadableSnapshotException e) {
+                assertEquals("its values are invalid", e.getMessage());
             }
         }
     }
 
     @Test
-    void anotherVersionIsToldFromDamage() {
-        byte[] other = HandoverSnapshotCodec.write(memory(NOW_MS));
+    void anotherVersionIsDistinguishedFromCorruption() {
+        byte[] other = HandoverSnapshotCodec.write(snapshot(NOW_MS));
         other[5]++;
-        assertTrue(assertThrows(HandoverSnapshotCodec.Unreadable.class, () -> HandoverSnapshotCodec.read(other))
+        assertTrue(assertThrows(
+                        HandoverSnapshotCodec.UnreadableSnapshotException.class,
+                        () -> HandoverSnapshotCodec.read(other))
                 .getMessage()
                 .contains("version 3"));
     }
 
     @Test
-    void trustFallsWithAgeAndWhatIsOfTheFutureHasNone() {
-        assertEquals(1, memory(NOW_MS).confidence(NOW_MS));
-        assertEquals(0.5, memory(NOW_MS).confidence(NOW_MS + 30_000), 1e-6);
-        assertEquals(0, memory(NOW_MS).confidence(NOW_MS + 90_000));
-        assertEquals(0, memory(NOW_MS).confidence(NOW_MS - 3_600_000), "the clock was set back an hour");
-        assertTrue(memory(NOW_MS).isFresh(NOW_MS + 100));
-        assertFalse(memory(NOW_MS).isFresh(NOW_MS + 10_000), "its process has ended or stands still");
-        assertFalse(memory(NOW_MS).isFresh(NOW_MS - 3_600_000));
+    void confidenceDecreasesWithAgeAndIsZeroForTheFuture() {
+        assertEquals(1, snapshot(NOW_MS).confidence(NOW_MS));
+        assertEquals(0.5, snapshot(NOW_MS).confidence(NOW_MS + 30_000), 1e-6);
+        assertEquals(0, snapshot(NOW_MS).confidence(NOW_MS + 90_000));
+        assertEquals(0, snapshot(NOW_MS).confidence(NOW_MS - 3_600_000), "the clock was set back an hour");
+        assertTrue(snapshot(NOW_MS).isFresh(NOW_MS + 100));
+        assertFalse(snapshot(NOW_MS).isFresh(NOW_MS + 10_000), "its process has ended or is stalled");
+        assertFalse(snapshot(NOW_MS).isFresh(NOW_MS - 3_600_000));
     }
 
     @Test
-    void aProcessReadsWhatOthersLeftAndNotItsOwn(@TempDir Path folder) throws Exception {
-        List<String> said = new ArrayList<>();
-        HandoverSnapshotFiles first = new HandoverSnapshotFiles(folder, 1, said::add);
-        HandoverSnapshotFiles second = new HandoverSnapshotFiles(folder, 2, said::add);
+    void aProcessReadsTheSnapshotsOfOthersAndNotItsOwn(@TempDir Path folder) throws Exception {
+        List<String> logged = new ArrayList<>();
+        HandoverSnapshotFiles first = new HandoverSnapshotFiles(folder, 1, logged::add);
+        HandoverSnapshotFiles second = new HandoverSnapshotFiles(folder, 2, logged::add);
         assertEquals(List.of(), second.others(NOW_MS));
-        first.write(memory(NOW_MS));
-        first.write(memory(NOW_MS + 1));
-        second.write(memory(NOW_MS + 2));
-        assertEquals(List.of(memory(NOW_MS + 1)), second.others(NOW_MS + 3));
-        assertEquals(List.of(memory(NOW_MS + 2)), first.others(NOW_MS + 3));
-        assertEquals(List.of(), said);
+        first.write(snapshot(NOW_MS));
+        first.write(snapshot(NOW_MS + 1));
+        second.write(snapshot(NOW_MS + 2));
+        assertEquals(List.of(snapshot(NOW_MS + 1)), second.others(NOW_MS + 3));
+        assertEquals(List.of(snapshot(NOW_MS + 2)), first.others(NOW_MS + 3));
+        assertEquals(List.of(), logged);
     }
 
     @Test
-    void whatIsOfNoUseIsToldOnceAndRemoved(@TempDir Path folder) throws Exception {
-        List<String> said = new ArrayList<>();
-        HandoverSnapshotFiles files = new HandoverSnapshotFiles(folder, 1, said::add);
-        byte[] whole = HandoverSnapshotCodec.write(memory(NOW_MS));
+    void anUnusableFileIsLoggedOnceAndRemoved(@TempDir Path folder) throws Exception {
+        List<String> logged = new ArrayList<>();
+        HandoverSnapshotFiles files = new HandoverSnapshotFiles(folder, 1, logged::add);
+        byte[] whole = HandoverSnapshotCodec.write(snapshot(NOW_MS));
         Files.write(folder.resolve("ivybank-2.memory"), new byte[0]);
         Files.write(folder.resolve("ivybank-3.memory"), Arrays.copyOf(whole, 40));
         Files.write(folder.resolve("ivybank-4.memory"), "something else altogether".getBytes(StandardCharsets.UTF_8));
-        Files.write(folder.resolve("ivybank-5.memory"), new byte[HandoverSnapshotCodec.MOST_BYTES + 1]);
-        Files.write(folder.resolve("ivybank-6.memory"), HandoverSnapshotCodec.write(memory(NOW_MS - 3_600_000)));
-        Files.write(folder.resolve("ivybank-7.memory.next"), whole); // killed in the middle of writing
+        Files.write(folder.resolve("ivybank-5.memory"), new byte[HandoverSnapshotCodec.MAX_BYTES + 1]);
+        Files.write(folder.resolve("ivybank-6.memory"), HandoverSnapshotCodec.write(snapshot(NOW_MS - 3_600_000)));
+        Files.write(folder.resolve("ivybank-7.memory.next"), whole); // its process was killed while writing it
         assertEquals(List.of(), files.others(NOW_MS));
         assertEquals(List.of(), files.others(NOW_MS));
-        assertEquals(4, said.size(), said.toString());
+        assertEquals(4, logged.size(), logged.toString());
         try (Stream<Path> left = Files.list(folder)) {
             assertEquals(
                     List.of("ivybank-7.memory.next"),
