--- a/src/main/java/ivybank/tally/FleetSum.java
+++ b/src/main/java/ivybank/tally/FleetSum.java
@@ -14,34 +14,34 @@
 import java.util.regex.Pattern;
 
 /**
- * The counts of all sidecars, added up by second and by node. Seconds are those of the sidecars' clocks: each second of a
- * sidecar is added to the second in which it ended.
+ * The counts of all sidecars, summed by second and by node. Seconds are those of the sidecars' clocks: each second of a sidecar is
+ * added to the second in which it ended.
  */
 public final class FleetSum {
 
-    private static final Pattern GIVEN_UP =
+    private static final Pattern SHED_LINE =
             Pattern.compile("given up within \\d+ ms: \\{([A-Z_0-9=, ]*)\\}; admitting (\\d+)%; of (\\d+)"
                     + " members (\\d+) full, (\\d+) cold, (\\d+) set aside");
     private static final Pattern CAUSE = Pattern.compile("([A-Z_]+)=(\\d{1,9})");
-    private static final double MEDIAN = 50;
-    private static final double NEARLY_ALL = 99;
-    /** No fleet lives longer in one folder of logs: what lies farther apart is a clock that was set. */
-    static final int MOST_SECONDS = 7 * 24 * 3600;
+    private static final double MEDIAN_PERCENTILE = 50;
+    private static final double TAIL_PERCENTILE = 99;
+    /** The longest span of a folder of logs; seconds that lie further apart come from a clock that was set. */
+    static final int MAX_SPAN_SECONDS = 7 * 24 * 3600;
 
-    /** All sidecars in one second. */
-    public static final class InSecond {
+    /** The counts of all sidecars in one second. */
+    public static final class FleetSecond {
         private int sidecars;
         private int taken;
         private int served;
         private int notServed;
         private int calls;
-        private double mostLateMs;
+        private double maxLateMs;
         private int members;
         private int full;
-        private int told;
+        private int shedLines;
         private SecondCounts.NodeCounts all = SecondCounts.NodeCounts.ZERO;
         private final Map<String, Integer> callsFailed = new TreeMap<>();
-        private final Map<String, Integer> givenUp = new TreeMap<>();
+        private final Map<String, Integer> shed = new TreeMap<>();
         private final Map<String, SecondCounts.NodeCounts> nodes = new TreeMap<>();
 
         private void add(SecondCounts second) {
@@ -50,7 +50,7 @@
             served += second.served();
             notServed += second.notServed();
             calls += second.calls();
-            mostLateMs = Math.max(mostLateMs, second.lateMs());
+            maxLateMs = Math.max(maxLateMs, second.lateMs());
             second.callsFailed().forEach((how, count) -> callsFailed.merge(how, count, Integer::sum));
             second.nodes().forEach((name, node) -> {
                 nodes.merge(name, node, SecondCounts.NodeCounts::plus);
@@ -58,8 +58,8 @@
             });
         }
 
-        /** The most of a figure at one node; what has no place of its own is no node. */
-        int most(ToIntFunction<SecondCounts.NodeCounts> figure) {
+        /** Returns the maximum of a count at one node, without the sum of the other nodes. */
+        int maxAtOneNode(ToIntFunction<SecondCounts.NodeCounts> figure) {
             return nodes.entrySet().stream()
                     .filter(entry -> !entry.getKey().equals(SecondCounts.OTHERS))
                     .mapToInt(entry -> figure.applyAsInt(entry.getValue()))
@@ -80,12 +80,12 @@
         }
     }
 
-    /** One figure of the whole. */
+    /** A named figure of the sum. */
     public record Figure(String name, double value) {}
 
-    private final TreeMap<Long, InSecond> seconds = new TreeMap<>();
-    /** By version, when each sidecar first knew it. */
-    private final Map<Long, List<Double>> known = new TreeMap<>();
+    private final TreeMap<Long, FleetSecond> seconds = new TreeMap<>();
+    /** The times at which sidecars first knew a version, by version. */
+    private final Map<Long, List<Double>> knownSinceByVersion = new TreeMap<>();
 
     private final StageTimes stages = new StageTimes();
     private final Set<String> sidecars = new HashSet<>();
@@ -93,21 +93,21 @@
     private String sidecar = "";
     private long version = -1;
     private double atMs = Double.NaN;
-    private int unreadable;
-    private int strayed;
+    private int malformedLines;
+    private int outlierSeconds;
 
-    /** What follows is one sidecar's log. */
-    public void begin(String name) {
+    /** Starts the log of a sidecar; the lines that follow belong to it. */
+    public void startLog(String name) {
         sidecar = name;
         version = -1;
         atMs = Double.NaN;
     }
 
-    /** Takes a line; those that say nothing of counts are passed over, and one that is damaged is counted. */
-    public void line(String text) {
-        Matcher givenUp = GIVEN_UP.matcher(text);
-        if (givenUp.find()) {
-            givenUp(givenUp);
+    /** Adds a line. Lines without counts are ignored, and malformed ones are counted. */
+    public void addLine(String text) {
+        Matcher shedLine = SHED_LINE.matcher(text);
+        if (shedLine.find()) {
+            addShed(shedLine);
             return;
         }
         try {
@@ -116,65 +116,67 @@
                 add(second);
             }
         } catch (IllegalArgumentException e) {
-            unreadable++;
+            malformedLines++;
         }
     }
 
     private void add(SecondCounts second) {
         long at = (long) Math.floor(second.atMs() / 1000);
-        if (!seconds.isEmpty() && Math.abs(at - seconds.keySet().iterator().next()) > MOST_SECONDS) {
-            strayed++;
+        if (!seconds.isEmpty() && Math.abs(at - seconds.keySet().iterator().next()) > MAX_SPAN_SECONDS) {
+            outlierSeconds++;
             return;
         }
         sidecars.add(sidecar);
         nodes.addAll(second.nodes().keySet());
         atMs = second.atMs();
-        seconds.computeIfAbsent(at, unseen -> new InSecond()).add(second);
+        seconds.computeIfAbsent(at, unseen -> new FleetSecond()).add(second);
         stages.add(second.stages());
         if (second.version() > version) {
             version = second.version();
-            known.computeIfAbsent(version, unseen -> new ArrayList<>()).add(atMs);
+            knownSinceByVersion
+                    .computeIfAbsent(version, unseen -> new ArrayList<>())
+                    .add(atMs);
         }
     }
 
-    /** The module's own line of a second has no time; it is that of the last counts before it. */
-    private void givenUp(Matcher line) {
+    /** Adds a line of the decision module, which has no time of its own and belongs to the last counts before it. */
+    private void addShed(Matcher line) {
         if (Double.isNaN(atMs)) {
             return;
         }
-        InSecond second = seconds.computeIfAbsent((long) Math.floor(atMs / 1000), unseen -> new InSecond());
+        FleetSecond second = seconds.computeIfAbsent((long) Math.floor(atMs / 1000), unseen -> new FleetSecond());
         Matcher cause = CAUSE.matcher(line.group(1));
         while (cause.find()) {
-            second.givenUp.merge(cause.group(1), Integer.parseInt(cause.group(2)), Integer::sum);
+            second.shed.merge(cause.group(1), Integer.parseInt(cause.group(2)), Integer::sum);
         }
         second.members += number(line.group(3));
         second.full += number(line.group(4));
-        second.told++;
+        second.shedLines++;
     }
 
     private static int number(String digits) {
         return digits.length() > 9 ? Integer.MAX_VALUE / 4 : Integer.parseInt(digits);
     }
 
-    /** Lines that were cut or damaged, and seconds that lie too far from the others. */
+    /** Returns the number of malformed lines, and of seconds too far from the others. */
     public int skippedLines() {
-        return unreadable + strayed;
+        return malformedLines + outlierSeconds;
     }
 
     public int sidecars() {
         return sidecars.size();
     }
 
-    public Map<Long, InSecond> seconds() {
+    public Map<Long, FleetSecond> seconds() {
         return seconds;
     }
 
-    /** What the whole comes to. */
+    /** Returns the figures of the sum. */
     public List<Figure> figures() {
-        double requests =
-                Math.max(1, seconds.values().stream().mapToInt(InSecond::taken).sum());
+        double requests = Math.max(
+                1, seconds.values().stream().mapToInt(FleetSecond::taken).sum());
         SecondCounts.NodeCounts all = seconds.values().stream()
-                .map(InSecond::all)
+                .map(FleetSecond::all)
                 .reduce(SecondCounts.NodeCounts.ZERO, SecondCounts.NodeCounts::plus);
         List<Figure> figures = new ArrayList<>();
         figures.add(new Figure("sidecars", sidecars.size()));
@@ -185,18 +187,20 @@
         figures.add(new Figure("requests taken", requests));
         figures.add(new Figure(
                 "served, of those taken",
-                seconds.values().stream().mapToInt(InSecond::served).sum() / requests));
+                seconds.values().stream().mapToInt(FleetSecond::served).sum() / requests));
         figures.add(new Figure("attempts for each request", all.sent() / requests));
         figures.add(new Figure("connections begun for each request", all.begun() / requests));
         figures.add(new Figure("connections not come up, for each request", all.notUp() / requests));
         figures.add(new Figure("attempts timed out, for each request", all.timedOut() / requests));
         figures.add(new Figure("attempts turned away, for each request", all.turnedAway() / requests));
-        figures.add(
-                new Figure("connections begun at one node in its worst second", worst(SecondCounts.NodeCounts::begun)));
-        figures.add(new Figure("connections held at one node at most", worst(SecondCounts.NodeCounts::held)));
         figures.add(new Figure(
-                "attempts at one node just back in its worst second", worst(SecondCounts.NodeCounts::justBack)));
-        figures.add(new Figure("attempts at one cold node in its worst second", worst(SecondCounts.NodeCounts::cold)));
+                "connections begun at one node in its worst second", maxInAnySecond(SecondCounts.NodeCounts::begun)));
+        figures.add(new Figure("connections held at one node at most", maxInAnySecond(SecondCounts.NodeCounts::held)));
+        figures.add(new Figure(
+                "attempts at one node just back in its worst second",
+                maxInAnySecond(SecondCounts.NodeCounts::justBack)));
+        figures.add(new Figure(
+                "attempts at one cold node in its worst second", maxInAnySecond(SecondCounts.NodeCounts::cold)));
         figures.add(new Figure(
                 "calls to discovery in the worst second",
                 seconds.values().stream().mapToInt(s -> s.calls).max().orElse(0)));
@@ -209,7 +213,7 @@
         figures.add(new Figure(
                 "given up for each request",
                 seconds.values().stream()
-                                .flatMap(s -> s.givenUp.values().stream())
+                                .flatMap(s -> s.shed.values().stream())
                                 .mapToInt(count -> count)
                                 .sum()
                         / requests));
@@ -218,29 +222,34 @@
                 seconds.values().stream().mapToInt(s -> s.members).sum()
                         / (double) Math.max(
                                 1,
-                                seconds.values().stream().mapToInt(s -> s.told).sum())));
-        figures.add(new Figure("event loop late, ms, at the 99th percentile of seconds", lateness()));
-        figures.add(new Figure("ms until nine in ten sidecars knew of a change, in the median", spread()));
+                                seconds.values().stream()
+                                        .mapToInt(s -> s.shedLines)
+                                        .sum())));
+        figures.add(new Figure("event loop late, ms, at the 99th percentile of seconds", lateAtTailMs()));
+        figures.add(new Figure("ms until nine in ten sidecars knew of a change, in the median", medianSpreadMs()));
         figures.addAll(stageFigures());
         return figures;
     }
 
-    /** Where requests spent their time; none where the logs are of a version that didn't tell. */
+    /** Returns the times by stage; none where the logs are of a version without them. */
     private List<Figure> stageFigures() {
         List<Figure> figures = new ArrayList<>();
         for (Stage stage : Stage.values()) {
             if (stages.count(stage) > 0) {
-                String name = "stage " + stage.word() + ": ";
+                String name = "stage " + stage.key() + ": ";
                 figures.add(new Figure(name + "times", stages.count(stage)));
                 figures.add(new Figure(name + "mean, ms", stages.meanMs(stage)));
-                figures.add(new Figure(name + "median, ms", stages.percentileMs(stage, MEDIAN)));
-                figures.add(new Figure(name + "99th percentile, ms", stages.percentileMs(stage, NEARLY_ALL)));
+                figures.add(new Figure(name + "median, ms", stages.percentileMs(stage, MEDIAN_PERCENTILE)));
+                figures.add(new Figure(name + "99th percentile, ms", stages.percentileMs(stage, TAIL_PERCENTILE)));
             }
         }
         return figures;
     }
 
-    /** Seconds from an instant, Unix time in seconds, until as much of what is taken is served as in the 5 s before, and stays so for 5 s. */
+    /**
+     * Returns the seconds from a Unix time in seconds until the served share of the accepted requests is what it was in the 5 s before,
+     * and stays so for 5 s.
+     */
     public double toFullService(double faultS) {
         if (seconds.isEmpty()) {
             return Double.NaN;
@@ -249,33 +258,35 @@
         int count = (int) (seconds.lastKey() - first) + 1;
         return ReturnTime.seconds(
                 second -> {
-                    InSecond its = seconds.get(first + second);
-                    return its == null || its.served + its.notServed == 0
+                    FleetSecond counts = seconds.get(first + second);
+                    return counts == null || counts.served + counts.notServed == 0
                             ? Double.NaN
-                            : its.served / (double) (its.served + its.notServed);
+                            : counts.served / (double) (counts.served + counts.notServed);
                 },
                 count,
                 faultS - first);
     }
 
-    private double worst(ToIntFunction<SecondCounts.NodeCounts> figure) {
+    private double maxInAnySecond(ToIntFunction<SecondCounts.NodeCounts> figure) {
         return seconds.values().stream()
-                .mapToInt(second -> second.most(figure))
+                .mapToInt(second -> second.maxAtOneNode(figure))
                 .max()
                 .orElse(0);
     }
 
-    private double lateness() {
+    private double lateAtTailMs() {
         double[] late = seconds.values().stream()
-                .mapToDouble(second -> second.mostLateMs)
+                .mapToDouble(second -> second.maxLateMs)
                 .sorted()
                 .toArray();
         return late.length == 0 ? 0 : late[(int) (0.99 * (late.length - 1))];
     }
 
-    /** Of the versions that at least half of the sidecars came to know; the others were overtaken by the next. */
-    private double spread() {
-        double[] spreads = known.values().stream()
+    /**
+     * Returns the median spread, over the versions that at least half of the sidecars came to know; later versions overtook the others.
+     */
+    private double medianSpreadMs() {
+        double[] spreads = knownSinceByVersion.values().stream()
                 .filter(times -> 2 * times.size() >= sidecars.size())
                 .mapToDouble(times -> {
                     List<Double> sorted = times.stream().sorted().toList();
@@ -286,7 +297,7 @@
         return spreads.length == 0 ? 0 : spreads[spreads.length / 2];
     }
 
-    /** A line for each second. */
+    /** Returns a table with a line for each second. */
     public List<String> table() {
         List<String> lines = new ArrayList<>();
         lines.add(String.format(
@@ -329,29 +340,29 @@
                 s.all.begun(),
                 s.all.held(),
                 s.all.idle(),
-                s.most(SecondCounts.NodeCounts::begun),
-                s.most(SecondCounts.NodeCounts::held),
-                s.mostLateMs,
+                s.maxAtOneNode(SecondCounts.NodeCounts::begun),
+                s.maxAtOneNode(SecondCounts.NodeCounts::held),
+                s.maxLateMs,
                 s.calls,
-                s.givenUp,
-                s.members / Math.max(1.0, s.told),
-                s.full / Math.max(1.0, s.told),
+                s.shed,
+                s.members / Math.max(1.0, s.shedLines),
+                s.full / Math.max(1.0, s.shedLines),
                 s.callsFailed.isEmpty() ? "" : "; calls failed " + s.callsFailed)));
         return lines;
     }
 
-    /** The figures that are out of proportion against another folder's: by half or more, the most changed first. */
+    /** Returns the figures that differ from those of another folder by half or more, the largest change first. */
     public List<String> against(FleetSum other) {
-        List<Figure> mine = figures();
-        List<Figure> its = other.figures();
+        List<Figure> ownFigures = figures();
+        List<Figure> otherFigures = other.figures();
         record Change(String name, double before, double now, double factor) {}
         List<Change> changes = new ArrayList<>();
-        for (int i = 0; i < mine.size(); i++) {
-            double now = mine.get(i).value();
-            double before = its.get(i).value();
+        for (int i = 0; i < ownFigures.size(); i++) {
+            double now = ownFigures.get(i).value();
+            double before = otherFigures.get(i).value();
             double factor = (now + 1e-3) / (before + 1e-3);
             if (factor >= 1.5 || factor <= 1 / 1.5) {
-                changes.add(new Change(mine.get(i).name(), before, now, factor));
+                changes.add(new Change(ownFigures.get(i).name(), before, now, factor));
             }
         }
         changes.sort(Comparator.comparingDouble(change -> -Math.abs(Math.log(change.factor))));
@@ -366,8 +377,8 @@
                 .toList();
     }
 
-    /** The nodes with the most attempts timed out: a line each. */
-    public List<String> mostTimedOut(int most) {
+    /** Returns a line for each of the nodes with the most timed out attempts. */
+    public List<String> mostTimedOut(int limit) {
         Map<String, SecondCounts.NodeCounts> whole = new TreeMap<>();
         seconds.values()
                 .forEach(second ->
@@ -376,7 +387,7 @@
                 .sorted(Comparator.comparingInt((Map.Entry<String, SecondCounts.NodeCounts> entry) ->
                                 -entry.getValue().timedOut())
                         .thenComparing(Map.Entry::getKey))
-                .limit(most)
+                .limit(limit)
                 .map(entry -> String.format(
                         Locale.ROOT,
                         "%-24s %6d sent, of them %d when just back and %d cold; %d timed out, %d turned away; %d connections begun, %d not come up",
--- a/src/main/java/ivybank/tally/LogFolder.java
+++ b/src/main/java/ivybank/tally/LogFolder.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Reads a folder of logs, one file for each sidecar; what can't be read is counted and left out, never fatal. */
+/** Reads a folder of logs, one file for each sidecar. Malformed input is counted and skipped, and is never fatal. */
 public final class LogFolder {
 
     private LogFolder() {}
 
     /**
-     * Adds up all files of a folder whose names end in {@code .log}.
+     * Sums all files of a folder whose names end in {@code .log}.
      *
      * @throws IOException if the folder or a file can't be read at all
      */
@@ -31,16 +31,16 @@
         }
         for (Path file : files) {
             String name = file.getFileName().toString();
-            // A log that was cut or damaged has bytes that are no text: they must not end the sum.
+            // Truncated or corrupt logs contain bytes that are not valid text, which must not end the sum.
             try (BufferedReader lines = new BufferedReader(new InputStreamReader(
                     Files.newInputStream(file),
                     StandardCharsets.UTF_8
                             .newDecoder()
                             .onMalformedInput(CodingErrorAction.REPLACE)
                             .onUnmappableCharacter(CodingErrorAction.REPLACE)))) {
-                sum.begin(name.substring(0, name.length() - ".log".length()));
+                sum.startLog(name.substring(0, name.length() - ".log".length()));
                 for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                    sum.line(line);
+                    sum.addLine(line);
                 }
             }
         }
--- a/src/main/java/ivybank/tally/SecondCounts.java
+++ b/src/main/java/ivybank/tally/SecondCounts.java
@@ -10,15 +10,15 @@
 import java.util.stream.Collectors;
 
 /**
- * What one sidecar did in one second, and its line in the log.
+ * The counts of one sidecar in one second, and their log line.
  *
- * @param atMs when it ended, Unix time
- * @param lateMs how much later than due the event loop came to end it
- * @param version of the list that was known at its end, or -1
- * @param taken requests taken, {@code served} and {@code notServed} answered
- * @param calls to discovery begun; {@code callsFailed} by how they ended
- * @param nodes by name; at most {@link SecondTally#MOST_NODES}, the rest as one under {@link #OTHERS}
- * @param stages how many took so many microseconds, in steps of an eighth or less
+ * @param atMs the end of the second, in Unix milliseconds
+ * @param lateMs how much later than due the event loop ended it
+ * @param version the version of the list that was known at its end, or -1
+ * @param taken the number of accepted requests; {@code served} and {@code notServed} of the completed ones
+ * @param calls the number of calls to discovery started; {@code callsFailed} by how they ended
+ * @param nodes the counts by node; at most {@link SecondTally#MAX_NODES}, the others summed under {@link #OTHERS}
+ * @param stages the number of times by stage and microseconds, in steps of an eighth or less
  */
 public record SecondCounts(
         double atMs,
@@ -32,19 +32,22 @@
         Map<String, NodeCounts> nodes,
         Map<Stage, Map<Long, Long>> stages) {
 
-    /** The name of all nodes that had no place of their own. */
+    /** The name under which nodes without an entry of their own are summed. */
     public static final String OTHERS = "*";
 
-    static final String WORD = "tally";
-    /** What the names of stages begin with in a line: {@code stage:rest=4096*2} says that two took 4,096 microseconds. */
-    private static final String STAGE = "stage:";
+    static final String LINE_PREFIX = "tally";
+    /** The prefix of stages in a line: {@code stage:rest=4096*2} says that two requests took 4,096 microseconds. */
+    private static final String STAGE_PREFIX = "stage:";
 
-    /** Of one node: connections begun, held and idle at the end, not come up; attempts by its age, turned away, timed out. */
+    /**
+     * The counts of one node: connections started, held and idle at the end, and failed; attempts by the age of the node, rejected,
+     * and timed out.
+     */
     public record NodeCounts(
             int begun, int held, int idle, int notUp, int justBack, int cold, int warm, int turnedAway, int timedOut) {
 
         static final NodeCounts ZERO = new NodeCounts(0, 0, 0, 0, 0, 0, 0, 0, 0);
-        private static final int FIGURES = 9;
+        private static final int FIELD_COUNT = 9;
 
         int sent() {
             return justBack + cold + warm;
@@ -67,21 +70,22 @@
                     timedOut + other.timedOut);
         }
 
-        private String text() {
+        private String format() {
             return begun + "," + held + "," + idle + "," + notUp + "," + justBack + "," + cold + "," + warm + ","
                     + turnedAway + "," + timedOut;
         }
 
         private static NodeCounts parse(String text) {
             String[] parts = text.split(",", -1);
-            if (parts.length != FIGURES) {
-                throw new IllegalArgumentException("a node has " + FIGURES + " figures, not '" + text + "'");
+            if (parts.length != FIELD_COUNT) {
+                throw new IllegalArgumentException("a node has " + FIELD_COUNT + " fields, not '" + text + "'");
             }
-            int[] n = new int[FIGURES];
-            for (int i = 0; i < FIGURES; i++) {
-                n[i] = Integer.parseInt(parts[i]);
+            int[] fields = new int[FIELD_COUNT];
+            for (int i = 0; i < FIELD_COUNT; i++) {
+                fields[i] = Integer.parseInt(parts[i]);
             }
-            return new NodeCounts(n[0], n[1], n[2], n[3], n[4], n[5], n[6], n[7], n[8]);
+            return new NodeCounts(
+                    fields[0], fields[1], fields[2], fields[3], fields[4], fields[5], fields[6], fields[7], fields[8]);
         }
     }
 
@@ -91,9 +95,9 @@
         stages = stages.isEmpty() ? Map.of() : Collections.unmodifiableMap(new EnumMap<>(stages));
     }
 
-    /** As a line of the log. */
+    /** Returns the log line. */
     public String line() {
-        StringBuilder text = new StringBuilder(WORD)
+        StringBuilder text = new StringBuilder(LINE_PREFIX)
                 .append(" at=")
                 .append(Math.round(atMs))
                 .append(" late=")
@@ -110,19 +114,22 @@
                 .append(calls);
         callsFailed.forEach(
                 (how, count) -> text.append(" failed:").append(how).append('=').append(count));
-        stages.forEach((stage, counts) ->
-                text.append(' ').append(STAGE).append(stage.word()).append('=').append(text(counts)));
-        nodes.forEach((name, node) -> text.append(" /").append(name).append('=').append(node.text()));
+        stages.forEach((stage, counts) -> text.append(' ')
+                .append(STAGE_PREFIX)
+                .append(stage.key())
+                .append('=')
+                .append(format(counts)));
+        nodes.forEach((name, node) -> text.append(" /").append(name).append('=').append(node.format()));
         return text.toString();
     }
 
-    private static String text(Map<Long, Long> counts) {
+    private static String format(Map<Long, Long> counts) {
         return counts.entrySet().stream()
                 .map(entry -> entry.getKey() + "*" + entry.getValue())
                 .collect(Collectors.joining(","));
     }
 
-    private static Map<Long, Long> counts(String text) {
+    private static Map<Long, Long> parseCounts(String text) {
         Map<Long, Long> counts = new TreeMap<>();
         for (String part : text.split(",", -1)) {
             int times = part.indexOf('*');
@@ -132,29 +139,29 @@
             long micros = Long.parseLong(part.substring(0, times));
             long count = Long.parseLong(part.substring(times + 1));
             if (micros < 0 || count <= 0) {
-                throw new IllegalArgumentException("'" + part + "' has figures that can't be");
+                throw new IllegalArgumentException("'" + part + "' has invalid values");
             }
             counts.merge(micros, count, Long::sum);
         }
         return counts;
     }
 
-    /** Adds the times of a stage; one that is unknown here is of a later version, and is passed over. */
-    private static void addStage(Map<Stage, Map<Long, Long>> stages, String word, String value) {
+    /** Adds the times of a stage. An unknown stage is of a later version, and is ignored. */
+    private static void addStage(Map<Stage, Map<Long, Long>> stages, String key, String value) {
         for (Stage stage : Stage.values()) {
-            if (stage.word().equals(word)) {
-                stages.put(stage, counts(value));
+            if (stage.key().equals(key)) {
+                stages.put(stage, parseCounts(value));
             }
         }
     }
 
     /**
-     * Reads a line of a log, which may begin with whatever wrote it down puts there; null where it is none of these.
+     * Parses a log line, which may have an arbitrary prefix of the log collector; returns null where it has no counts.
      *
-     * @throws IllegalArgumentException where it is one and can't be read
+     * @throws IllegalArgumentException if it has counts that are malformed
      */
     public static SecondCounts parse(String line) {
-        int from = line.indexOf(WORD + " at=");
+        int from = line.indexOf(LINE_PREFIX + " at=");
         if (from < 0 || from > 0 && line.charAt(from - 1) != ' ') {
             return null;
         }
@@ -162,19 +169,19 @@
         Map<String, Integer> failed = new LinkedHashMap<>();
         Map<String, NodeCounts> nodes = new LinkedHashMap<>();
         Map<Stage, Map<Long, Long>> stages = new EnumMap<>(Stage.class);
-        List<String> words = new ArrayList<>(
-                List.of(line.substring(from + WORD.length()).trim().split(" ")));
-        for (String word : words) {
-            int equals = word.lastIndexOf('=');
+        List<String> tokens = new ArrayList<>(
+                List.of(line.substring(from + LINE_PREFIX.length()).trim().split(" ")));
+        for (String token : tokens) {
+            int equals = token.lastIndexOf('=');
             if (equals <= 0) {
-                throw new IllegalArgumentException("'" + word + "' is not name=value");
+                throw new IllegalArgumentException("'" + token + "' is not name=value");
             }
-            String name = word.substring(0, equals);
-            String value = word.substring(equals + 1);
+            String name = token.substring(0, equals);
+            String value = token.substring(equals + 1);
             if (name.startsWith("/")) {
                 nodes.merge(name.substring(1), NodeCounts.parse(value), NodeCounts::plus);
-            } else if (name.startsWith(STAGE)) {
-                addStage(stages, name.substring(STAGE.length()), value);
+            } else if (name.startsWith(STAGE_PREFIX)) {
+                addStage(stages, name.substring(STAGE_PREFIX.length()), value);
             } else if (name.startsWith("failed:")) {
                 failed.merge(name.substring("failed:".length()), Integer.parseInt(value), Integer::sum);
             } else {
--- a/src/main/java/ivybank/tally/SecondTally.java
+++ b/src/main/java/ivybank/tally/SecondTally.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /**
- * Counts what happens until the second is ended, and begins anew; what is held goes on. Bounded by the nodes to which there
- * is a connection or that were sent something within the second. Not safe for use by several threads.
+ * Counts events until the second ends, and then starts anew; the number of held connections is carried over. Memory is bounded by
+ * the nodes with a connection or with an attempt within the second. Not thread-safe.
  */
 public final class SecondTally implements Tally {
 
-    /** Nodes with a place of their own in a line. */
-    public static final int MOST_NODES = 64;
+    /** The maximum number of nodes with an entry of their own in a line. */
+    public static final int MAX_NODES = 64;
 
-    private static final int MOST_WAYS_TO_FAIL = 8;
-    private static final int LONGEST_NAME = 64;
+    private static final int MAX_FAILURE_KINDS = 8;
+    private static final int MAX_NAME_LENGTH = 64;
 
     private static final class Counts {
         int begun;
@@ -27,13 +27,13 @@
         int turnedAway;
         int timedOut;
 
-        SecondCounts.NodeCounts figures() {
+        SecondCounts.NodeCounts toNodeCounts() {
             return new SecondCounts.NodeCounts(
                     begun, held, idle, notUp, sent[0], sent[1], sent[2], turnedAway, timedOut);
         }
 
-        /** Begins anew, and tells whether there is nothing left to keep. */
-        boolean begin() {
+        /** Resets the counts of the second, and returns whether nothing is left to keep. */
+        boolean reset() {
             begun = 0;
             idle = 0;
             notUp = 0;
@@ -51,48 +51,48 @@
     private final StageTimes stages = new StageTimes();
     private int taken;
     private int served;
-    private int answered;
+    private int completed;
     private int calls;
     private long version = -1;
-    private long told = -1;
+    private long reportedVersion = -1;
 
-    private Counts of(String node) {
+    private Counts countsOf(String node) {
         return nodes.computeIfAbsent(node, unseen -> new Counts());
     }
 
     @Override
     public void connectionStarted(String node) {
-        of(node).begun++;
+        countsOf(node).begun++;
     }
 
     @Override
     public void connectionsHeld(String node, int change) {
-        of(node).held += change;
+        countsOf(node).held += change;
     }
 
     @Override
     public void connectionsIdle(String node, int count) {
-        of(node).idle += count;
+        countsOf(node).idle += count;
     }
 
     @Override
     public void connectionFailed(String node) {
-        of(node).notUp++;
+        countsOf(node).notUp++;
     }
 
     @Override
     public void attemptSent(String node, Age age) {
-        of(node).sent[age.ordinal()]++;
+        countsOf(node).sent[age.ordinal()]++;
     }
 
     @Override
     public void attemptRejected(String node) {
-        of(node).turnedAway++;
+        countsOf(node).turnedAway++;
     }
 
     @Override
     public void attemptTimedOut(String node) {
-        of(node).timedOut++;
+        countsOf(node).timedOut++;
     }
 
     @Override
@@ -102,7 +102,7 @@
 
     @Override
     public void requestCompleted() {
-        answered++;
+        completed++;
     }
 
     @Override
@@ -122,30 +122,33 @@
 
     @Override
     public void discoveryCallFailed(String how) {
-        String word = callsFailed.size() < MOST_WAYS_TO_FAIL || callsFailed.containsKey(how) ? how : "other";
-        callsFailed.merge(word, 1, Integer::sum);
+        String kind = callsFailed.size() < MAX_FAILURE_KINDS || callsFailed.containsKey(how) ? how : "other";
+        callsFailed.merge(kind, 1, Integer::sum);
     }
 
     @Override
-    public void listUpdated(long to) {
-        version = to;
+    public void listUpdated(long newVersion) {
+        version = newVersion;
     }
 
     /**
-     * Ends the second and begins the next.
+     * Ends the second and starts the next one.
      *
-     * @return null where nothing has happened in it
+     * @return the counts, or null where nothing has happened
      */
     public SecondCounts endSecond(double nowMs, double lateMs) {
-        Map<String, SecondCounts.NodeCounts> figures = new HashMap<>();
+        Map<String, SecondCounts.NodeCounts> countsByNode = new HashMap<>();
         nodes.forEach((name, counts) -> {
-            SecondCounts.NodeCounts node = counts.figures();
+            SecondCounts.NodeCounts node = counts.toNodeCounts();
             if (!node.isNothing()) {
-                figures.merge(clean(name), node, SecondCounts.NodeCounts::plus);
+                countsByNode.merge(sanitize(name), node, SecondCounts.NodeCounts::plus);
             }
         });
-        boolean quiet = figures.isEmpty() && taken + answered + calls == 0 && callsFailed.isEmpty() && version == told;
-        SecondCounts second = quiet
+        boolean idle = countsByNode.isEmpty()
+                && taken + completed + calls == 0
+                && callsFailed.isEmpty()
+                && version == reportedVersion;
+        SecondCounts second = idle
                 ? null
                 : new SecondCounts(
                         nowMs,
@@ -153,27 +156,27 @@
                         version,
                         taken,
                         served,
-                        Math.max(0, answered - served),
+                        Math.max(0, completed - served),
                         calls,
                         callsFailed,
-                        bounded(figures),
+                        limitNodes(countsByNode),
                         stages.counts());
-        nodes.values().removeIf(Counts::begin);
+        nodes.values().removeIf(Counts::reset);
         callsFailed.clear();
         stages.clear();
         taken = 0;
         served = 0;
-        answered = 0;
+        completed = 0;
         calls = 0;
-        told = version;
+        reportedVersion = version;
         return second;
     }
 
-    private static Map<String, SecondCounts.NodeCounts> bounded(Map<String, SecondCounts.NodeCounts> figures) {
-        if (figures.size() <= MOST_NODES) {
-            return figures;
+    private static Map<String, SecondCounts.NodeCounts> limitNodes(Map<String, SecondCounts.NodeCounts> countsByNode) {
+        if (countsByNode.size() <= MAX_NODES) {
+            return countsByNode;
         }
-        List<Map.Entry<String, SecondCounts.NodeCounts>> busiest = figures.entrySet().stream()
+        List<Map.Entry<String, SecondCounts.NodeCounts>> busiest = countsByNode.entrySet().stream()
                 .sorted(Comparator.comparingInt((Map.Entry<String, SecondCounts.NodeCounts> entry) ->
                                 -entry.getValue().sent() - entry.getValue().begun())
                         .thenComparing(Map.Entry::getKey))
@@ -181,21 +184,21 @@
         Map<String, SecondCounts.NodeCounts> kept = new HashMap<>();
         for (int i = 0; i < busiest.size(); i++) {
             kept.merge(
-                    i < MOST_NODES - 1 ? busiest.get(i).getKey() : SecondCounts.OTHERS,
+                    i < MAX_NODES - 1 ? busiest.get(i).getKey() : SecondCounts.OTHERS,
                     busiest.get(i).getValue(),
                     SecondCounts.NodeCounts::plus);
         }
         return kept;
     }
 
-    /** Names come from outside: what would break the line is left out. */
-    static String clean(String name) {
-        String cut = name.length() > LONGEST_NAME ? name.substring(0, LONGEST_NAME) : name;
-        StringBuilder clean = new StringBuilder(cut.length());
-        for (int i = 0; i < cut.length(); i++) {
-            char c = cut.charAt(i);
-            clean.append(c > ' ' && c < 127 && c != '=' && c != ',' && c != '/' && c != '*' ? c : '_');
+    /** Replaces the characters that would break the line; names come from outside. */
+    static String sanitize(String name) {
+        String truncated = name.length() > MAX_NAME_LENGTH ? name.substring(0, MAX_NAME_LENGTH) : name;
+        StringBuilder sanitized = new StringBuilder(truncated.length());
+        for (int i = 0; i < truncated.length(); i++) {
+            char c = truncated.charAt(i);
+            sanitized.append(c > ' ' && c < 127 && c != '=' && c != ',' && c != '/' && c != '*' ? c : '_');
         }
-        return clean.length() == 0 ? "_" : clean.toString();
+        return sanitized.length() == 0 ? "_" : sanitized.toString();
     }
 }
--- a/src/main/java/ivybank/tally/Tally.java
+++ b/src/main/java/ivybank/tally/Tally.java
@@ -1,71 +1,71 @@
 package ivybank.tally;
 
-/** Told of what happens, for counts by the second; this one counts nothing. Used by one thread. */
+/** Receives the events that are counted by the second; the default methods count nothing. Used by one thread. */
 public interface Tally {
 
-    /** Counts nothing. */
+    /** A tally that counts nothing. */
     Tally NONE = new Tally() {};
 
-    /** How an attempt is counted by the life of its node's process. */
+    /** The age class of the node that an attempt is sent to, by its process. */
     enum Age {
-        /** Its process, or its return after it was out, is under two seconds old. */
+        /** Its process started, or the node returned to service, less than two seconds ago. */
         JUST_BACK,
-        /** Still cold by the contract. */
+        /** The node is still cold by the contract. */
         COLD,
         WARM;
 
         private static final double JUST_BACK_MS = 2000;
 
         /**
-         * The state of a node by its age.
+         * Returns the age class of a node.
          *
-         * @param ageMs since the start of the process, or since it was called back; infinite for long ago
-         * @param coldMs after which it is warm
+         * @param ageMs the time since the start of the process, or since the node's return to service; infinite for long ago
+         * @param coldMs the age at which a node is warm
          */
         public static Age of(double ageMs, double coldMs) {
             return ageMs < JUST_BACK_MS ? JUST_BACK : ageMs < coldMs ? COLD : WARM;
         }
     }
 
-    /** A connection to a node was begun. */
+    /** The opening of a connection to a node has started. */
     default void connectionStarted(String node) {}
 
-    /** One came up, or one that had come up has ended. */
+    /** The number of connections that are open or coming up has changed: one was started, or one has ended. */
     default void connectionsHeld(String node, int change) {}
 
-    /** So many are idle at the end of the second. */
+    /** This many connections are idle at the end of the second. */
     default void connectionsIdle(String node, int count) {}
 
-    /** One was refused, never came up, or broke before it was of use. */
+    /** A connection was refused, never came up, or broke before it was used. */
     default void connectionFailed(String node) {}
 
     /** An attempt was sent. */
     default void attemptSent(String node, Age age) {}
 
-    /** An attempt was turned away unseen. */
+    /** An attempt was rejected unprocessed. */
     default void attemptRejected(String node) {}
 
-    /** An attempt got no answer in its time. */
+    /** An attempt got no answer within its timeout. */
     default void attemptTimedOut(String node) {}
 
-    /** A client's request was taken. */
+    /** A client request was accepted. */
     default void requestTaken() {}
 
-    /** A client's request is over: it has its final answer, or its client has left. */
+    /** A client request has ended: it has its final answer, or its client has disconnected. */
     default void requestCompleted() {}
 
-    /** One of those was served. */
+    /** A client request was served. */
     default void requestServed() {}
 
-    /** A request, or an attempt of one, took so long in a stage. */
+    /** A request, or an attempt of one, spent this long in a stage. */
     default void stageCompleted(Stage stage, double ms) {}
 
-    /** Discovery was called. */
+    /** A call to discovery was made. */
     default void discoveryCalled() {}
 
-    /** A call to discovery has ended without what was asked for; {@code how} is a word, such as a status. */
+    /** A call to discovery has ended without a result; {@code how} is a token, such as a status. */
     default void discoveryCallFailed(String how) {}
 
-    /** A list, or a change of it, was taken over, up to this version. */
+    /** A list, or a change of it, was applied, up to this version. */
     default void listUpdated(long version) {}
 }
--- a/src/main/java/ivybank/tally/package-info.java
+++ b/src/main/java/ivybank/tally/package-info.java
@@ -1,2 +1,2 @@
-/** Counts by the second, and their sums over many logs. */
+/** Counts by the second, and their sums over the logs of many sidecars. */
 package ivybank.tally;
--- a/src/test/java/ivybank/tally/FleetSumTest.java
+++ b/src/test/java/ivybank/tally/FleetSumTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Logs that many sidecars wrote, each harmless, and what they come to. */
+/** Tests the sum of the logs of many sidecars, where each log is harmless by itself. */
 class FleetSumTest {
 
     private static final double START_MS = 1_800_000_000_000.0;
@@ -19,14 +19,16 @@
     @TempDir
     Path dir;
 
-    /** Logs of so many sidecars, each of which begins so many connections to one node that has just come back. */
-    private Path logs(String name, int sidecars, int begun) throws Exception {
+    /**
+     * Writes the logs of this many sidecars, each of which opens this many connections to one node that has just come back.
+     */
+    private Path logs(String name, int sidecars, int connections) throws Exception {
         Path folder = Files.createDirectory(dir.resolve(name));
         for (int i = 0; i < sidecars; i++) {
             SecondTally tally = new SecondTally();
             StringBuilder log = new StringBuilder("listening\n");
             for (int second = 1; second <= 3; second++) {
-                for (int n = 0; n < (second == 2 ? begun : 0); n++) {
+                for (int n = 0; n < (second == 2 ? connections : 0); n++) {
                     tally.connectionStarted("back");
                     tally.attemptSent("back", Tally.Age.JUST_BACK);
                 }
@@ -54,9 +56,9 @@
     }
 
     @Test
-    void timeToFullServiceIsToldFromAnInstant() {
+    void timeToFullServiceIsMeasuredFromAnInstant() {
         FleetSum sum = new FleetSum();
-        sum.begin("n0");
+        sum.startLog("n0");
         SecondTally tally = new SecondTally();
         for (int second = 1; second <= 16; second++) {
             tally.requestTaken();
@@ -64,14 +66,14 @@
                 tally.requestServed();
             }
             tally.requestCompleted();
-            sum.line(tally.endSecond(START_MS + 1000 * second + 100, 0).line());
+            sum.addLine(tally.endSecond(START_MS + 1000 * second + 100, 0).line());
         }
         assertEquals(2, sum.toFullService(START_MS / 1000 + 7));
-        assertEquals(Double.NaN, sum.toFullService(START_MS / 1000), "nothing is known of before");
+        assertEquals(Double.NaN, sum.toFullService(START_MS / 1000), "there is no data before that");
     }
 
     @Test
-    void whatIsOneInEachLogIsAHundredAtTheNode() throws Exception {
+    void singleConnectionsInEachLogAddUpAtTheNode() throws Exception {
         FleetSum sum = LogFolder.sum(logs("hundred", 100, 1));
         Map<String, Double> figures = figures(sum);
         assertEquals(100, sum.sidecars());
@@ -88,7 +90,7 @@
     }
 
     @Test
-    void whatGrewOutOfProportionIsNamedAndNothingElse() throws Exception {
+    void onlyFiguresOutOfProportionAreReported() throws Exception {
         FleetSum before = LogFolder.sum(logs("before", 50, 1));
         FleetSum now = LogFolder.sum(logs("now", 50, 4));
         assertTrue(before.against(before).isEmpty());
@@ -103,7 +105,7 @@
     }
 
     @Test
-    void logsThatWereCutDamagedOrSetToAnotherTimeAreCountedAndLeftOut() throws Exception {
+    void truncatedCorruptAndMistimedLogsAreCountedAndSkipped() throws Exception {
         Path folder = logs("damaged", 3, 1);
         byte[] whole = Files.readAllBytes(folder.resolve("n0.log"));
         for (int cut = 0; cut < whole.length; cut++) {
--- a/src/test/java/ivybank/tally/SecondTallyTest.java
+++ b/src/test/java/ivybank/tally/SecondTallyTest.java
@@ -12,7 +12,7 @@
     private final SecondTally tally = new SecondTally();
 
     @Test
-    void aLineSaysWhatHappenedAndIsReadBackAsItWas() {
+    void aLineIsParsedBackToTheSameCounts() {
         tally.requestTaken();
         tally.requestTaken();
         tally.requestCompleted();
@@ -36,14 +36,11 @@
                 new SecondCounts.NodeCounts(0, 0, 0, 0, 0, 1, 1, 1, 1),
                 second.nodes().get("s-2"));
         assertEquals(second, SecondCounts.parse(second.line()), second.line());
-        assertEquals(
-                second,
-                SecondCounts.parse("13.655 " + second.line()),
-                "behind what a collector of logs puts before it");
+        assertEquals(second, SecondCounts.parse("13.655 " + second.line()), "after the prefix of a log collector");
     }
 
     @Test
-    void theTimesOfStagesAreReadBackAndBeginAnew() {
+    void stageTimesAreParsedBackAndReset() {
         tally.requestTaken();
         for (int i = 0; i < 99; i++) {
             tally.stageCompleted(Stage.REUSE, 0.05);
@@ -65,7 +62,7 @@
     }
 
     @Test
-    void aLineHasABoundHoweverManyDifferentTimesThereAre() {
+    void aLineIsBoundedHoweverManyDifferentTimesThereAre() {
         for (int micros = 0; micros < 1_000_000; micros++) {
             tally.stageCompleted(Stage.FIRST_BYTE, micros / 1000.0);
         }
@@ -80,7 +77,7 @@
     }
 
     @Test
-    void aLineOfAnEarlierVersionIsReadAndAStageOfALaterOnePassedOver() {
+    void aLineOfAnEarlierVersionIsParsedAndAStageOfALaterOneIgnored() {
         String before = "tally at=1000 late=0 list=41 taken=2 served=1 not=0 calls=0";
         assertEquals(2, SecondCounts.parse(before).taken());
         assertTrue(SecondCounts.parse(before).stages().isEmpty());
@@ -95,7 +92,7 @@
     }
 
     @Test
-    void whatIsHeldGoesOnAndCountsBeginAnew() {
+    void heldConnectionsAreCarriedOverAndCountsReset() {
         tally.connectionStarted("s-1");
         tally.connectionsHeld("s-1", 1);
         tally.endSecond(1000, 0);
@@ -103,32 +100,32 @@
                 new SecondCounts.NodeCounts(0, 1, 0, 0, 0, 0, 0, 0, 0),
                 tally.endSecond(2000, 0).nodes().get("s-1"));
         tally.connectionsHeld("s-1", -1);
-        assertNull(tally.endSecond(3000, 0), "nothing left, nothing said");
+        assertNull(tally.endSecond(3000, 0), "nothing is left to report");
     }
 
     @Test
-    void aLineHasABoundHoweverManyNodesThereAreAndTheSumIsKept() {
+    void aLineIsBoundedHoweverManyNodesThereAreAndTheSumIsKept() {
         for (int node = 0; node < 5000; node++) {
             tally.attemptSent("node-" + node, Tally.Age.WARM);
         }
         tally.attemptSent("node-4999", Tally.Age.WARM);
         SecondCounts second = tally.endSecond(1000, 0);
-        assertEquals(SecondTally.MOST_NODES, second.nodes().size());
+        assertEquals(SecondTally.MAX_NODES, second.nodes().size());
         assertEquals(
                 5001,
                 second.nodes().values().stream()
                         .mapToInt(SecondCounts.NodeCounts::sent)
                         .sum());
-        assertEquals(2, second.nodes().get("node-4999").sent(), "the busiest have a place of their own");
+        assertEquals(2, second.nodes().get("node-4999").sent(), "the busiest nodes have an entry of their own");
         for (int node = 0; node < 5000; node++) {
             tally.attemptSent("other-" + node, Tally.Age.WARM);
             tally.endSecond(2000 + node, 0);
         }
-        assertNull(tally.endSecond(9000, 0), "nodes that have gone are not kept");
+        assertNull(tally.endSecond(9000, 0), "nodes without traffic are not kept");
     }
 
     @Test
-    void namesFromOutsideCanNotBreakTheLine() {
+    void externalNamesCannotBreakTheLine() {
         String name = "a b=c,d/e\n* " + "x".repeat(500);
         tally.attemptSent(name, Tally.Age.WARM);
         SecondCounts second = tally.endSecond(1000, 0);
@@ -137,7 +134,7 @@
     }
 
     @Test
-    void waysToFailThatDiscoveryMakesUpAreBounded() {
+    void failureKindsFromDiscoveryAreBounded() {
         for (int status = 0; status < 900; status++) {
             tally.discoveryCallFailed(Integer.toString(status));
         }
@@ -149,7 +146,7 @@
     }
 
     @Test
-    void aLineThatWasCutIsTold() {
+    void aTruncatedLineIsRejected() {
         tally.attemptSent("s-1", Tally.Age.WARM);
         String line = tally.endSecond(1000, 0).line();
         assertNull(SecondCounts.parse("discovery answers again"));
