--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -3,12 +3,12 @@
 import ivybank.operator.OperatorFile;
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.store.Disk;
+import ivybank.store.FileSystemDisk;
 import ivybank.store.Limits;
-import ivybank.store.Maintenance;
-import ivybank.store.RealDisk;
 import ivybank.store.RecoveryReport;
 import ivybank.store.StoreException;
 import ivybank.store.StoreIdentity;
+import ivybank.store.StoreMaintenance;
 import ivybank.toml.InputException;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -42,7 +42,7 @@
         if (!Files.isDirectory(folder)) {
             throw new InputException(folder + ": is no folder");
         }
-        return RealDisk.take(folder);
+        return FileSystemDisk.lock(folder);
     }
 
     @Command(
@@ -55,8 +55,8 @@
                     String name)
             throws IOException {
         try {
-            StoreIdentity made = Maintenance.make(
-                    RealDisk.take(folder),
+            StoreIdentity made = StoreMaintenance.create(
+                    FileSystemDisk.lock(folder),
                     STANDARD,
                     name,
                     () -> UUID.randomUUID().toString());
@@ -74,7 +74,7 @@
         if (report == null) {
             return Ivybank.FAILED;
         }
-        System.out.println(folder + ": " + report.line());
+        System.out.println(folder + ": " + report.summary());
         System.out.println(whose(folder));
         try (var files = Files.list(folder)) {
             for (Path file : files.sorted().toList()) {
@@ -91,17 +91,18 @@
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException, InputException {
         RecoveryReport report = read(folder);
         if (report != null) {
-            System.out.println(folder + ": " + (report.damage().isEmpty() ? "good; " : "") + report.line());
+            System.out.println(folder + ": " + (report.damage().isEmpty() ? "good; " : "") + report.summary());
         }
         return report != null && report.damage().isEmpty() ? 0 : Ivybank.FAILED;
     }
 
     private static String whose(Path folder) throws IOException, InputException {
         try (Disk disk = take(folder)) {
-            StoreIdentity identity = StoreIdentity.of(disk);
+            StoreIdentity identity = StoreIdentity.readIfPresent(disk);
             return identity == null
                     ? "it has no name, as those of earlier versions"
-                    : "of " + identity.owner() + ", id " + identity.id() + ", taken up " + identity.life() + " times";
+                    : "of " + identity.owner() + ", id " + identity.id() + ", taken up " + identity.incarnation()
+                            + " times";
         } catch (StoreException e) {
             return e.getMessage();
         }
@@ -109,7 +110,7 @@
 
     private static RecoveryReport read(Path folder) throws IOException, InputException {
         try {
-            return Maintenance.verify(take(folder));
+            return StoreMaintenance.verify(take(folder));
         } catch (StoreException e) {
             System.err.println("ivybank: " + folder + ": " + e.getMessage());
             return null;
@@ -125,7 +126,7 @@
         StoreSettings settings =
                 operator == null ? null : OperatorFile.read(operator).store();
         try {
-            long[] bytes = Maintenance.compact(take(folder), settings == null ? STANDARD : settings.limits());
+            long[] bytes = StoreMaintenance.compact(take(folder), settings == null ? STANDARD : settings.limits());
             System.out.println(folder + ": " + bytes[0] + " bytes before, " + bytes[1] + " now");
             return 0;
         } catch (StoreException e) {
--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -25,7 +25,7 @@
 import ivybank.exchange.BodyPipe;
 import ivybank.exchange.ClientLink;
 import ivybank.exchange.RequestHandler;
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import java.io.IOException;
 import java.math.BigDecimal;
 import java.util.concurrent.TimeUnit;
@@ -161,14 +161,14 @@
 
     private void take(RequestReader.Read message) {
         if (message == RequestReader.Read.LAST) {
-            arriving = arriving != null && arriving.whole() ? null : arriving;
+            arriving = arriving != null && arriving.isComplete() ? null : arriving;
             held();
             if (closing) {
                 close(false);
             } else if (current != null
                     && current.request() != null
-                    && current.request().rest() != null) {
-                driver.arrived(currentId);
+                    && current.request().remainingBody() != null) {
+                driver.bodyCompleted(currentId);
             }
             return;
         }
@@ -201,7 +201,7 @@
 
     private void refuseInItsTurn(RequestReader.Read message) {
         if (message.rest() != null) {
-            message.rest().leave();
+            message.rest().abandon();
         }
         if (message.head() == null) {
             waiting.endWith(message.status());
@@ -213,18 +213,18 @@
 
     /** Whether the last byte of the request at hand is still to come. */
     private boolean isArriving() {
-        return current != null && current.request() != null && current.request().arriving();
+        return current != null && current.request() != null && current.request().isIncomplete();
     }
 
     /** Answers the request at hand, which will never be whole, and so has not run. */
     private void abort(int status) {
         Arrival arrival = current;
-        driver.clientLeft(currentId);
+        driver.cancel(currentId);
         answer(arrival, Answer.status(status));
     }
 
     @Override
-    public void wanted(boolean more) {
+    public void setDemand(boolean more) {
         if (more != wanted) {
             wanted = more;
             double nowMs = clock.nowMs();
@@ -235,8 +235,8 @@
     }
 
     @Override
-    public void left() {
-        wanted(true); // it is read to its end all the same
+    public void abandoned() {
+        setDemand(true); // it is read to its end all the same
     }
 
     /** Bounds what waits here: requests behind the one at hand, and answers that the client does not read. */
@@ -247,7 +247,7 @@
 
     /** Tells the server what of the body that is coming nobody has taken yet. */
     private void held() {
-        long now = arriving == null ? 0 : arriving.heldBytes();
+        long now = arriving == null ? 0 : arriving.bufferedBytes();
         server.holds(now - heldBytes);
         heldBytes = now;
     }
@@ -271,23 +271,24 @@
      * also where it was good before and Netty has made another selector. {@code resting}: also where nothing is in hand.
      */
     void verify(boolean resting) {
-        if (!(context.channel() instanceof SteadySocketChannel channel)) {
+        if (!(context.channel() instanceof RetryingSocketChannel channel)) {
             return;
         }
         if (resting || current != null || isMute() || channel.hasPendingWrites()) {
             boolean stood = mayHaveStood;
             mayHaveStood = true; // what is found now may have come long ago
-            SteadySocketChannel.Input found = channel.verify();
+            RetryingSocketChannel.ReadResult found = channel.pollAndRearm();
             notedReading(found);
-            if (found == SteadySocketChannel.Input.READ_OUT || found == SteadySocketChannel.Input.NOT_READ) {
+            if (found == RetryingSocketChannel.ReadResult.EXHAUSTED
+                    || found == RetryingSocketChannel.ReadResult.NOT_READ) {
                 mayHaveStood = stood; // nothing was found
             }
         }
     }
 
     /** A read that finds nothing more shows as well as any other that the client can be read. */
-    private void notedReading(SteadySocketChannel.Input found) {
-        if (found == SteadySocketChannel.Input.READ_OUT) {
+    private void notedReading(RetryingSocketChannel.ReadResult found) {
+        if (found == RetryingSocketChannel.ReadResult.EXHAUSTED) {
             canBeRead();
         }
     }
@@ -300,7 +301,7 @@
     /** Guards a request whose client can't be read any more: whether that has left can't be seen, so it gets its answer now. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == SteadySocketChannel.Event.READ_FAILED) {
+        if (event == RetryingSocketChannel.Event.READ_FAILED) {
             double nowMs = clock.nowMs();
             blindSinceMs = Double.isNaN(blindSinceMs) ? nowMs : blindSinceMs;
             stoodSinceMs = Double.isNaN(stoodSinceMs) ? nowMs : stoodSinceMs;
@@ -319,14 +320,14 @@
         boolean writable = ctx.channel().isWritable();
         stalledSinceMs = writable ? Double.NaN : clock.nowMs();
         if (writing != null) {
-            writing.wanted(writable);
+            writing.setDemand(writable);
         }
         next();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (ctx.channel() instanceof SteadySocketChannel channel && !channel.takeHasRead()) {
+        if (ctx.channel() instanceof RetryingSocketChannel channel && !channel.getAndClearHasRead()) {
             ctx.fireChannelReadComplete(); // a read that failed, or found nothing where the selector was not asked
             return;
         }
@@ -375,20 +376,20 @@
     private void begin(Arrival arrival) {
         current = arrival;
         boolean waits =
-                mayHaveStood && arrival.request() != null && arrival.request().rest() == null;
+                mayHaveStood && arrival.request() != null && arrival.request().remainingBody() == null;
         mayHaveStood = false;
         if (!waits) {
             takeUp(arrival);
             return;
         }
-        NextSelect.then(context.executor(), () -> takeUpOnceConfirmed(arrival));
+        NextSelect.runAfter(context.executor(), () -> takeUpOnceConfirmed(arrival));
     }
 
     private void takeUpOnceConfirmed(Arrival arrival) {
         if (current != arrival || !context.channel().isActive()) {
             return;
         }
-        boolean confirmed = confirmed();
+        boolean confirmed = verifyClientPresent();
         if (current != arrival) {
             return; // it was failed, for its connection can't be read
         }
@@ -402,14 +403,15 @@
 
     /** Guards nodes against requests whose clients have left unseen: the selector may tell nothing, or reads fail. */
     @Override
-    public boolean confirmed() {
-        if (inRead || isArriving() || !(context.channel() instanceof SteadySocketChannel channel)) {
+    public boolean verifyClientPresent() {
+        if (inRead || isArriving() || !(context.channel() instanceof RetryingSocketChannel channel)) {
             return true;
         }
         boolean open = channel.isActive();
-        SteadySocketChannel.Input found = open ? channel.readOut() : SteadySocketChannel.Input.NOT_READ;
+        RetryingSocketChannel.ReadResult found =
+                open ? channel.readUntilEmpty() : RetryingSocketChannel.ReadResult.NOT_READ;
         notedReading(found);
-        return found != SteadySocketChannel.Input.FAILED && channel.isActive() == open;
+        return found != RetryingSocketChannel.ReadResult.FAILED && channel.isActive() == open;
     }
 
     private void takeUp(Arrival arrival) {
@@ -418,7 +420,7 @@
             answer(arrival, Answer.refused(server.retryAfterMs()));
         } else if (arrival.request() == null) {
             answer(arrival, Answer.status(arrival.status()));
-        } else if (driver.isOpen(arrival.request().callId())) {
+        } else if (driver.isInFlight(arrival.request().callId())) {
             // Guards against one client that would have another one's request run twice, or be answered in its place.
             answer(arrival, Answer.status(HttpStatus.CONFLICT));
         } else if (server.overfull()) {
@@ -427,23 +429,23 @@
         } else if (server.takesTheLast()) {
             answer(arrival, Answer.refused(server.retryAfterMs()));
         } else {
-            int id = driver.request(arrival.request(), answer -> answer(arrival, answer));
+            int id = driver.handle(arrival.request(), answer -> answer(arrival, answer));
             currentId = current == arrival ? id : 0;
         }
     }
 
     private void answer(Arrival arrival, Answer answer) {
         if (current != arrival || !context.channel().isActive()) {
-            if (answer.rest() != null) {
-                answer.rest().leave();
+            if (answer.remainingBody() != null) {
+                answer.remainingBody().abandon();
             }
             return;
         }
-        boolean early = arrival.request() != null && arrival.request().arriving();
+        boolean early = arrival.request() != null && arrival.request().isIncomplete();
         if (early) {
-            arrival.request().rest().leave();
+            arrival.request().remainingBody().abandon();
         }
-        if (answer.rest() != null) {
+        if (answer.remainingBody() != null) {
             pass(arrival, answer, early);
             return;
         }
@@ -504,22 +506,22 @@
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()));
         HttpHeaders headers = response.headers();
         setType(headers, answer);
-        if (answer.length() >= 0) {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, answer.length());
+        if (answer.contentLength() >= 0) {
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, answer.contentLength());
         } else if (!arrival.old()) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        boolean keepAlive = keepsAlive(arrival) && !early && !(arrival.old() && answer.length() < 0);
+        boolean keepAlive = keepsAlive(arrival) && !early && !(arrival.old() && answer.contentLength() < 0);
         HttpUtil.setKeepAlive(response, keepAlive);
         context.write(response);
         context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(answer.body())));
-        writing = answer.rest();
-        writing.take(new BodyPipe.Sink() {
+        writing = answer.remainingBody();
+        writing.attach(new BodyPipe.Sink() {
             @Override
-            public void part(ByteBuf part) {
+            public void write(ByteBuf part) {
                 BodyPipe pipe = writing;
                 context.writeAndFlush(new DefaultHttpContent(part));
-                pipe.wanted(context.channel().isWritable());
+                pipe.setDemand(context.channel().isWritable());
             }
 
             @Override
@@ -576,7 +578,7 @@
 
     /** Guards answers where writes fail for a moment: closing drops what is not written yet. */
     private boolean hasUnwrittenAnswer() {
-        return context.channel() instanceof SteadySocketChannel channel && channel.hasPendingWrites();
+        return context.channel() instanceof RetryingSocketChannel channel && channel.hasPendingWrites();
     }
 
     /** Whether nothing is to be expected of it any more; {@code keepIdle} spares what has brought requests. */
@@ -614,7 +616,7 @@
         if (!retiring) {
             retiring = true;
             long before = reads;
-            NextSelect.then(context.executor(), () -> endRetirement(before, closing));
+            NextSelect.runAfter(context.executor(), () -> endRetirement(before, closing));
         }
     }
 
@@ -657,11 +659,11 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         server.closed(this);
         if (current != null) {
-            BodyPipe unfinished = isArriving() ? current.request().rest() : null;
+            BodyPipe unfinished = isArriving() ? current.request().remainingBody() : null;
             current = null;
-            driver.clientLeft(currentId);
+            driver.cancel(currentId);
             if (writing != null) {
-                writing.leave();
+                writing.abandon();
             }
             if (unfinished != null) {
                 unfinished.end(false);
@@ -676,7 +678,7 @@
     /** Closes the connection, unless a request on it would lose its answer; {@code broken}: none can be given any more. */
     private void close(boolean broken) {
         boolean unanswered = current != null && current.request() != null && writing == null || !waiting.isEmpty();
-        if (!server.guard().closing(unanswered && !closing, broken).isAllowed()) {
+        if (!server.guard().checkClose(unanswered && !closing, broken).isAllowed()) {
             return;
         }
         if (!broken && hasUnwrittenAnswer()) {
@@ -701,7 +703,7 @@
     /** Fails the request at hand and ends the connection with that. */
     private void failAtHand() {
         ended = true;
-        driver.clientLeft(currentId);
+        driver.cancel(currentId);
         current = new Arrival(current.request(), 0, false, current.old());
         answer(current, Answer.status(HttpStatus.BAD_GATEWAY));
     }
--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -7,7 +7,7 @@
 import ivybank.exchange.SendRecord;
 import ivybank.invariants.InvariantGuard;
 import ivybank.invariants.InvariantGuard.Transmission;
-import ivybank.invariants.Repeat;
+import ivybank.invariants.RepeatRisk;
 import ivybank.invariants.Verdict;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.policy.Balancer.Settings;
@@ -108,7 +108,7 @@
 
             @Override
             public Verdict mayBeWritten(double toldMs) {
-                return guard.sending(transmission(exchange, node, number, toldMs));
+                return guard.checkSend(transmission(exchange, node, number, toldMs));
             }
 
             @Override
@@ -120,7 +120,7 @@
 
     private Transmission transmission(Exchange exchange, Node node, int number, double toldMs) {
         double nowMs = clock.nowMs();
-        List<Repeat.Other> others = IntStream.range(0, exchange.attempts.size())
+        List<RepeatRisk.OtherAttempt> others = IntStream.range(0, exchange.attempts.size())
                 .filter(each -> each != number)
                 .mapToObj(each -> exchange.attempts.get(each).asOther())
                 .toList();
@@ -131,7 +131,7 @@
                 toldMs,
                 exchange.clientLeftMs(nowMs),
                 exchange.leastLeftMs(nowMs),
-                Repeat.of(
+                RepeatRisk.of(
                         settings.classes().get(exchange.request.requestClass()),
                         others,
                         node.zone(),
@@ -140,7 +140,7 @@
     }
 
     private void count(Exchange exchange, Node node, double nowMs, boolean first, boolean atOnce) {
-        if (first && !exchange.request.arriving()) {
+        if (first && !exchange.request.isIncomplete()) {
             tally.stageCompleted(atOnce ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
         }
         double startedMs = node.startedMs();
@@ -149,11 +149,11 @@
     }
 
     private void send(Exchange exchange, UpstreamAttempt attempt) {
-        SendRecord record = exchange.request.record();
+        SendRecord record = exchange.request.sendRecord();
         if (record == null) {
             pool.send(attempt);
-        } else if (record.recorded()) {
-            record.sending();
+        } else if (record.isRecorded()) {
+            record.attemptStarted();
             attempt.markDispatched();
             pool.send(attempt);
         } else {
--- a/src/main/java/ivybank/daemon/ConfigReload.java
+++ b/src/main/java/ivybank/daemon/ConfigReload.java
@@ -4,8 +4,8 @@
 import io.netty.util.NetUtil;
 import ivybank.common.Clock;
 import ivybank.common.Log;
-import ivybank.supervision.Chain;
 import ivybank.supervision.EventLoopTasks;
+import ivybank.supervision.SupervisedTask;
 import java.net.InetSocketAddress;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
@@ -16,7 +16,7 @@
  * the sidecar runs. A file that can't be read is tried again, ever more rarely, until it can or another signal comes. On the
  * event loop, so that the last signal takes the newest text.
  */
-final class ConfigReload implements Chain {
+final class ConfigReload implements SupervisedTask {
 
     private enum State {
         IDLE,
--- a/src/main/java/ivybank/daemon/KeptPromises.java
+++ b/src/main/java/ivybank/daemon/KeptPromises.java
@@ -4,8 +4,8 @@
 import ivybank.common.Log;
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.policy.Balancer.Settings;
-import ivybank.promises.PromiseKeeper;
-import ivybank.store.RealDisk;
+import ivybank.promises.PromiseRequestHandler;
+import ivybank.store.FileSystemDisk;
 import ivybank.store.StoreException;
 import ivybank.store.StoreIdentity;
 import java.io.IOException;
@@ -22,23 +22,24 @@
         return failure instanceof StoreException;
     }
 
-    static PromiseKeeper open(
+    static PromiseRequestHandler open(
             StoreSettings store, String name, Settings settings, ScheduledExecutorService loop, Clock clock, Log log)
             throws IOException {
-        RealDisk disk = RealDisk.take(store.folder());
+        FileSystemDisk disk = FileSystemDisk.lock(store.folder());
         try {
-            StoreIdentity identity = StoreIdentity.take(
+            StoreIdentity identity = StoreIdentity.acquire(
                     disk,
                     name,
                     store.firstStart(),
                     () -> UUID.randomUUID().toString(),
                     line -> log.line("store " + store.folder() + ": " + line));
-            log.line("store " + store.folder() + ": id " + identity.id() + ", taken up for the " + identity.life()
-                    + ". time");
+            log.line("store " + store.folder() + ": id " + identity.id() + ", taken up for the "
+                    + identity.incarnation() + ". time");
         } catch (IOException | RuntimeException e) {
             disk.close();
             throw e;
         }
-        return new PromiseKeeper(store.promises(), settings, disk, store.limits(), store.degrade(), loop, clock, log);
+        return new PromiseRequestHandler(
+                store.promises(), settings, disk, store.limits(), store.degrade(), loop, clock, log);
     }
 }
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -8,8 +8,8 @@
 import io.netty.handler.codec.http.HttpClientCodec;
 import ivybank.common.Clock;
 import ivybank.common.Log;
-import ivybank.supervision.Chain;
 import ivybank.supervision.OutboundConnection;
+import ivybank.supervision.SupervisedTask;
 import ivybank.tally.Tally;
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -32,7 +32,7 @@
  * <p>This class owns the chain of calls. There is always a call under way or a pause before the next one, each with a time by
  * which it must have ended, and a {@link ivybank.supervision.Watchdog} starts the next one where it has not.
  */
-public final class Discovery implements Chain, DiscoveryCall.Owner {
+public final class Discovery implements SupervisedTask, DiscoveryCall.Owner {
 
     /** The state of the chain of calls. */
     private enum State {
--- a/src/main/java/ivybank/discovery/DiscoveryCall.java
+++ b/src/main/java/ivybank/discovery/DiscoveryCall.java
@@ -17,7 +17,7 @@
 import ivybank.common.Clock;
 import ivybank.common.Json;
 import ivybank.supervision.OutboundConnection;
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import java.io.IOException;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
@@ -159,9 +159,9 @@
      * not report.
      */
     void verify() {
-        if (context != null && context.channel() instanceof SteadySocketChannel channel) {
-            SteadySocketChannel.Input found = channel.verify();
-            if (unreadable && found == SteadySocketChannel.Input.READ_OUT && channel.isActive()) {
+        if (context != null && context.channel() instanceof RetryingSocketChannel channel) {
+            RetryingSocketChannel.ReadResult found = channel.pollAndRearm();
+            if (unreadable && found == RetryingSocketChannel.ReadResult.EXHAUSTED && channel.isActive()) {
                 unreadable = false;
                 owner.readRecovered(this);
             }
@@ -170,7 +170,7 @@
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == SteadySocketChannel.Event.READ_FAILED) {
+        if (event == RetryingSocketChannel.Event.READ_FAILED) {
             unreadable = true;
             readFailedSinceRequest = true;
             owner.readFailed(this);
--- a/src/main/java/ivybank/discovery/DiscoverySocketChannel.java
+++ b/src/main/java/ivybank/discovery/DiscoverySocketChannel.java
@@ -1,9 +1,9 @@
 package ivybank.discovery;
 
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 
 /** A socket channel to discovery. */
-public final class DiscoverySocketChannel extends SteadySocketChannel {
+public final class DiscoverySocketChannel extends RetryingSocketChannel {
 
     /**
      * The silence timeout of a watch. Until then, what discovery has sent waits in the socket and would be lost by closing it.
--- a/src/main/java/ivybank/tally/FleetSum.java
+++ b/src/main/java/ivybank/tally/FleetSum.java
@@ -1,6 +1,6 @@
 package ivybank.tally;
 
-import ivybank.common.ReturnTime;
+import ivybank.common.RecoveryTime;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -14,8 +14,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The counts of all sidecars, summed by second and by node. Seconds are those of the sidecars' clocks: each second of a sidecar is
- * added to the second in which it ended.
+ * The counts of all sidecars, summed by node and by second of the sidecars' clocks: each second of a sidecar is added to the one
+ * in which it ended.
  */
 public final class FleetSum {
 
@@ -25,7 +25,7 @@
     private static final Pattern CAUSE = Pattern.compile("([A-Z_]+)=(\\d{1,9})");
     private static final double MEDIAN_PERCENTILE = 50;
     private static final double TAIL_PERCENTILE = 99;
-    /** The longest span of a folder of logs; seconds that lie further apart come from a clock that was set. */
+    /** The longest span of a folder of logs; seconds further apart come from a clock that was set. */
     static final int MAX_SPAN_SECONDS = 7 * 24 * 3600;
 
     /** The counts of all sidecars in one second. */
@@ -246,17 +246,14 @@
         return figures;
     }
 
-    /**
-     * Returns the seconds from a Unix time in seconds until the served share of the accepted requests is what it was in the 5 s before,
-     * and stays so for 5 s.
-     */
+    /** Returns the seconds from a Unix time until the served share is as in the 5 s before, and stays so for 5 s. */
     public double toFullService(double faultS) {
         if (seconds.isEmpty()) {
             return Double.NaN;
         }
         long first = seconds.keySet().iterator().next();
         int count = (int) (seconds.lastKey() - first) + 1;
-        return ReturnTime.seconds(
+        return RecoveryTime.seconds(
                 second -> {
                     FleetSecond counts = seconds.get(first + second);
                     return counts == null || counts.served + counts.notServed == 0
@@ -282,9 +279,7 @@
         return late.length == 0 ? 0 : late[(int) (0.99 * (late.length - 1))];
     }
 
-    /**
-     * Returns the median spread, over the versions that at least half of the sidecars came to know; later versions overtook the others.
-     */
+    /** Returns the median spread of the versions known to at least half of the sidecars; the others were overtaken. */
     private double medianSpreadMs() {
         double[] spreads = knownSinceByVersion.values().stream()
                 .filter(times -> 2 * times.size() >= sidecars.size())
--- a/src/main/java/ivybank/upstream/ConnectionOpener.java
+++ b/src/main/java/ivybank/upstream/ConnectionOpener.java
@@ -6,7 +6,7 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpRequestEncoder;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.discovery.Node;
 import ivybank.supervision.OutboundConnection;
 import ivybank.tally.Tally;
@@ -30,7 +30,7 @@
     private final UpstreamPool pool;
     private final EventLoop loop;
     private final Limits limits;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final LoadReport reports;
     private final Bootstrap bootstrap;
     /** The number of spare connections by node. */
@@ -47,7 +47,7 @@
             UpstreamPool pool,
             EventLoop loop,
             Limits limits,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             LoadReport reports,
             Bootstrap base) {
         this.pool = pool;
@@ -78,7 +78,7 @@
     }
 
     boolean isFull() {
-        return open() >= limits.connections() || descriptors.full();
+        return open() >= limits.connections() || descriptors.isExhausted();
     }
 
     /**
@@ -87,7 +87,7 @@
      */
     boolean hasCapacityForSpares() {
         int reserved = (int) (RESERVED_RATIO * limits.connections());
-        return open() < limits.connections() - reserved && descriptors.room() > reserved;
+        return open() < limits.connections() - reserved && descriptors.available() > reserved;
     }
 
     /** Opens a connection and passes it to the receiver once it is up, or null if it does not come up. */
@@ -142,7 +142,7 @@
         /** Returns whether the connection has ended, or should have come up, without an event that says so. */
         boolean isLost(double nowMs) {
             boolean overdue = !up && nowMs - startedMs > limits.connectTimeoutMs() + MAX_CONNECT_OVERDUE_MS;
-            return overdue || connection != null && connection.hasEndedUntold();
+            return overdue || connection != null && connection.hasClosedUnreported();
         }
     }
 
@@ -164,7 +164,7 @@
     }
 
     private void register(UpstreamConnection connection, Opening opening) {
-        descriptors.take();
+        descriptors.acquire();
         open.put(connection, opening);
         openedCount++;
         if (connection.spare) {
--- a/src/main/java/ivybank/upstream/UpstreamAttempt.java
+++ b/src/main/java/ivybank/upstream/UpstreamAttempt.java
@@ -4,7 +4,7 @@
 import ivybank.discovery.Node;
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
-import ivybank.invariants.Repeat;
+import ivybank.invariants.RepeatRisk;
 import ivybank.invariants.Verdict;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.tally.Stage;
@@ -19,7 +19,7 @@
 
         /** A long answer has started. It belongs to the client from now on, and the attempt ends with it. */
         default void answerStarted(Answer answer) {
-            answer.rest().leave();
+            answer.remainingBody().abandon();
         }
 
         /** Returns the upper limit of the time budget that is sent to the node, in milliseconds. */
@@ -137,10 +137,10 @@
     }
 
     /** Returns what another attempt of the same request has to know about this one. */
-    public Repeat.Other asOther() {
+    public RepeatRisk.OtherAttempt asOther() {
         boolean written = writtenMs < Double.POSITIVE_INFINITY;
         boolean provedNotRun = outcome != null && outcome.provesNotRun();
-        return new Repeat.Other(written && !provedNotRun, node.zone(), node.cell(), writtenMs);
+        return new RepeatRisk.OtherAttempt(written && !provedNotRun, node.zone(), node.cell(), writtenMs);
     }
 
     /** Stops waiting, because the attempt was cancelled or has timed out. */
--- a/src/main/java/ivybank/upstream/UpstreamConnection.java
+++ b/src/main/java/ivybank/upstream/UpstreamConnection.java
@@ -29,7 +29,7 @@
 import ivybank.exchange.ClientRequest;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.tally.Stage;
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import ivybank.upstream.UpstreamAttempt.Ending;
 import ivybank.upstream.UpstreamSocketChannel.UnreadInput;
 import java.io.ByteArrayOutputStream;
@@ -141,7 +141,7 @@
     void verify() {
         boolean waits = attempt != null || channel != null && !channel.isActive();
         if (waits && channel instanceof UpstreamSocketChannel socket) {
-            socket.verify();
+            socket.pollAndRearm();
         }
     }
 
@@ -174,17 +174,17 @@
             headers.set(IDEMPOTENCY_KEY, request.idempotencyKey());
         }
         if (request.method().equals(HttpMethod.POST)) {
-            if (request.length() >= 0) {
-                headers.set(HttpHeaderNames.CONTENT_LENGTH, request.length());
+            if (request.contentLength() >= 0) {
+                headers.set(HttpHeaderNames.CONTENT_LENGTH, request.contentLength());
             } else {
                 headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             }
         }
-        if (request.rest() != null) {
+        if (request.remainingBody() != null) {
             channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), headers));
             writePart(Unpooled.wrappedBuffer(request.body()));
-            upload = request.rest();
-            upload.take(new Upload(next));
+            upload = request.remainingBody();
+            upload.attach(new Upload(next));
             return;
         }
         DefaultFullHttpRequest message = new DefaultFullHttpRequest(
@@ -210,7 +210,7 @@
             written = whole;
             if (!whole) {
                 finish(Ending.of(Outcome.CONNECT_FAILED), false);
-            } else if (sent.request.rest() != null) {
+            } else if (sent.request.remainingBody() != null) {
                 sent.startTimer(channel.eventLoop());
             }
         }
@@ -227,7 +227,7 @@
         }
 
         @Override
-        public void part(ByteBuf part) {
+        public void write(ByteBuf part) {
             if (attempt != sent) {
                 part.release();
                 return;
@@ -262,7 +262,7 @@
      * Applies back pressure to the upload. Ends the attempt, which has not run, if the node does not read for too long.
      */
     private void updateUpload(boolean writable) {
-        upload.wanted(writable);
+        upload.setDemand(writable);
         if (uploadTimeout != null) {
             uploadTimeout.cancel(false);
         }
@@ -308,7 +308,7 @@
         if (!written && response.status().code() == STATUS_OK) {
             pool.reportMalformedAnswer(node, "arrived before its request was sent");
             finish(Ending.of(Outcome.CONNECT_FAILED), false); // a node starts with the last byte, so it has not run
-        } else if (!Framing.isClear(response) || !interim && !bounded) {
+        } else if (!Framing.isUnambiguous(response) || !interim && !bounded) {
             failMalformed("has no clear end");
         } else if (Framing.isTooLong(response)) {
             failMalformed("is too long");
@@ -336,14 +336,14 @@
         if (rest != null) {
             forwardedBytes += part.readableBytes();
             lastPartMs = pool.nowMs();
-            if (forwardedBytes > Framing.MAX_BODY) {
+            if (forwardedBytes > Framing.MAX_BODY_BYTES) {
                 failMalformed("is too long");
             } else {
-                rest.part(part.retain());
+                rest.write(part.retain());
             }
             return;
         }
-        if (body.size() + part.readableBytes() > Framing.MOST_WHOLE) {
+        if (body.size() + part.readableBytes() > Framing.MAX_BUFFERED_BODY_BYTES) {
             forwardAnswer(part);
             return;
         }
@@ -358,25 +358,25 @@
     private void forwardAnswer(ByteBuf part) {
         if (outcome() != Outcome.OK) {
             finish(Ending.of(outcome()), false); // the body of a failure is not used
-        } else if (attempt.request.record() != null) {
+        } else if (attempt.request.sendRecord() != null) {
             failMalformed("is too long to be recorded");
         } else {
             forwardedBytes = (long) body.size() + part.readableBytes();
             rest = new BodyPipe(new BodyPipe.Source() {
                 @Override
-                public void wanted(boolean more) {
+                public void setDemand(boolean more) {
                     channel.config().setAutoRead(more);
                 }
 
                 @Override
-                public void left() {
+                public void abandoned() {
                     close();
                 }
             });
-            rest.part(part.retain());
+            rest.write(part.retain());
             lastPartMs = pool.nowMs();
             watchStall(attempt);
-            attempt.forwardAnswer(Answer.begun(
+            attempt.forwardAnswer(Answer.streamed(
                     head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                     body.toByteArray(),
                     rest,
@@ -433,7 +433,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (ctx.channel() instanceof SteadySocketChannel socket && !socket.takeHasRead()) {
+        if (ctx.channel() instanceof RetryingSocketChannel socket && !socket.getAndClearHasRead()) {
             ctx.fireChannelReadComplete(); // a read that failed, or found nothing without an event
             return;
         }
@@ -476,7 +476,7 @@
             rest = null;
         }
         if (upload != null) {
-            upload.leave();
+            upload.abandon();
             upload = null;
         }
         head = null;
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -3,14 +3,14 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.EventLoop;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.common.NextSelect;
 import ivybank.discovery.Node;
 import ivybank.policy.Balancer.Outcome;
-import ivybank.supervision.Chain;
 import ivybank.supervision.PeriodicTask;
+import ivybank.supervision.SupervisedTask;
 import ivybank.tally.Stage;
 import ivybank.tally.Tally;
 import ivybank.upstream.ConnectionReusePolicy.NodeState;
@@ -87,7 +87,7 @@
             EventLoop loop,
             Clock clock,
             Limits limits,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             LoadReport reports,
             Bootstrap base,
             Log log) {
@@ -111,7 +111,7 @@
     }
 
     /** Returns the periodic tasks that close idle connections, find lost ones, and check those without events. */
-    public List<Chain> chains() {
+    public List<SupervisedTask> chains() {
         return List.of(sweep, verification);
     }
 
@@ -166,7 +166,7 @@
 
     /** Sends an attempt, which may end before this returns. */
     public void send(UpstreamAttempt attempt) {
-        if (!attempt.request.arriving()) {
+        if (!attempt.request.isIncomplete()) {
             attempt.startTimer(loop);
         }
         reuse.attemptStarted();
@@ -217,8 +217,8 @@
      * processed first, so that the request is not sent in vain.
      */
     void send(UpstreamConnection connection, UpstreamAttempt attempt) {
-        if (stallDetector.ofLate(clock.nowMs())) {
-            NextSelect.then(loop, () -> writeIfSendable(connection, attempt));
+        if (stallDetector.isStalled(clock.nowMs())) {
+            NextSelect.runAfter(loop, () -> writeIfSendable(connection, attempt));
         } else {
             write(connection, attempt);
         }
@@ -229,7 +229,7 @@
      * before the request and would be taken for the request's own.
      */
     private void write(UpstreamConnection connection, UpstreamAttempt attempt) {
-        if (!attempt.request.client().confirmed()) {
+        if (!attempt.request.client().verifyClientPresent()) {
             loop.schedule(() -> writeIfSendable(connection, attempt), CLIENT_CHECK_DELAY_MS, TimeUnit.MILLISECONDS);
             return;
         }
--- a/src/main/java/ivybank/upstream/UpstreamSocketChannel.java
+++ b/src/main/java/ivybank/upstream/UpstreamSocketChannel.java
@@ -1,11 +1,11 @@
 package ivybank.upstream;
 
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
 /** A socket channel to a node that can report, without waiting for the event loop, whether it has unread input. */
-public final class UpstreamSocketChannel extends SteadySocketChannel {
+public final class UpstreamSocketChannel extends RetryingSocketChannel {
 
     /** The input that the operating system has buffered for a channel and that has not been read. */
     enum UnreadInput {
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -52,7 +52,7 @@
     private void leave(HandoverSnapshotFiles other, int inHand) throws Exception {
         for (int i = 0; i < 5; i++) {
             other.write(new HandoverSnapshot(
-                    clock.machineMs(), inHand, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
+                    clock.monotonicMs(), inHand, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
             Thread.sleep(60);
         }
     }
