--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -368,7 +368,7 @@
         try {
             return addressSupplier.get();
         } catch (RuntimeException e) {
-            log.line("the address of discovery can't be read, going on with the previous one: " + e);
+            log.line("the address of discovery can't be read, using the previous one: " + e);
             return null;
         }
     }
--- a/src/main/java/ivybank/discovery/ListValues.java
+++ b/src/main/java/ivybank/discovery/ListValues.java
@@ -12,7 +12,7 @@
 import java.util.List;
 
 /**
- * Parses the JSON values of a watch, whatever white space stands in and between them and wherever the input is split. Lists
+ * Parses the JSON values of a watch, whatever white space is in and between them and wherever the input is split. Lists
  * may be indented; a parser that expects one list per line could not read them. Buffers at most one incomplete value of a
  * bounded size.
  */
--- a/src/main/java/ivybank/tally/FleetSum.java
+++ b/src/main/java/ivybank/tally/FleetSum.java
@@ -189,12 +189,12 @@
                 "served, of those taken",
                 seconds.values().stream().mapToInt(FleetSecond::served).sum() / requests));
         figures.add(new Figure("attempts for each request", all.sent() / requests));
-        figures.add(new Figure("connections begun for each request", all.begun() / requests));
-        figures.add(new Figure("connections not come up, for each request", all.notUp() / requests));
+        figures.add(new Figure("connections begun for each request", all.started() / requests));
+        figures.add(new Figure("connections not come up, for each request", all.failed() / requests));
         figures.add(new Figure("attempts timed out, for each request", all.timedOut() / requests));
-        figures.add(new Figure("attempts turned away, for each request", all.turnedAway() / requests));
+        figures.add(new Figure("attempts turned away, for each request", all.rejected() / requests));
         figures.add(new Figure(
-                "connections begun at one node in its worst second", maxInAnySecond(SecondCounts.NodeCounts::begun)));
+                "connections begun at one node in its worst second", maxInAnySecond(SecondCounts.NodeCounts::started)));
         figures.add(new Figure("connections held at one node at most", maxInAnySecond(SecondCounts.NodeCounts::held)));
         figures.add(new Figure(
                 "attempts at one node just back in its worst second",
@@ -330,12 +330,12 @@
                 s.all.justBack(),
                 s.all.cold(),
                 s.all.timedOut(),
-                s.all.turnedAway(),
-                s.all.notUp(),
-                s.all.begun(),
+                s.all.rejected(),
+                s.all.failed(),
+                s.all.started(),
                 s.all.held(),
                 s.all.idle(),
-                s.maxAtOneNode(SecondCounts.NodeCounts::begun),
+                s.maxAtOneNode(SecondCounts.NodeCounts::started),
                 s.maxAtOneNode(SecondCounts.NodeCounts::held),
                 s.maxLateMs,
                 s.calls,
@@ -391,9 +391,9 @@
                         entry.getValue().justBack(),
                         entry.getValue().cold(),
                         entry.getValue().timedOut(),
-                        entry.getValue().turnedAway(),
-                        entry.getValue().begun(),
-                        entry.getValue().notUp()))
+                        entry.getValue().rejected(),
+                        entry.getValue().started(),
+                        entry.getValue().failed()))
                 .toList();
     }
 }
--- a/src/main/java/ivybank/tally/SecondCounts.java
+++ b/src/main/java/ivybank/tally/SecondCounts.java
@@ -44,7 +44,7 @@
      * and timed out.
      */
     public record NodeCounts(
-            int begun, int held, int idle, int notUp, int justBack, int cold, int warm, int turnedAway, int timedOut) {
+            int started, int held, int idle, int failed, int justBack, int cold, int warm, int rejected, int timedOut) {
 
         static final NodeCounts ZERO = new NodeCounts(0, 0, 0, 0, 0, 0, 0, 0, 0);
         private static final int FIELD_COUNT = 9;
@@ -59,20 +59,20 @@
 
         NodeCounts plus(NodeCounts other) {
             return new NodeCounts(
-                    begun + other.begun,
+                    started + other.started,
                     held + other.held,
                     idle + other.idle,
-                    notUp + other.notUp,
+                    failed + other.failed,
                     justBack + other.justBack,
                     cold + other.cold,
                     warm + other.warm,
-                    turnedAway + other.turnedAway,
+                    rejected + other.rejected,
                     timedOut + other.timedOut);
         }
 
         private String format() {
-            return begun + "," + held + "," + idle + "," + notUp + "," + justBack + "," + cold + "," + warm + ","
-                    + turnedAway + "," + timedOut;
+            return started + "," + held + "," + idle + "," + failed + "," + justBack + "," + cold + "," + warm + ","
+                    + rejected + "," + timedOut;
         }
 
         private static NodeCounts parse(String text) {
--- a/src/main/java/ivybank/tally/SecondTally.java
+++ b/src/main/java/ivybank/tally/SecondTally.java
@@ -19,25 +19,25 @@
     private static final int MAX_NAME_LENGTH = 64;
 
     private static final class Counts {
-        int begun;
+        int started;
         int held;
         int idle;
-        int notUp;
+        int failed;
         final int[] sent = new int[Age.values().length];
-        int turnedAway;
+        int rejected;
         int timedOut;
 
         SecondCounts.NodeCounts toNodeCounts() {
             return new SecondCounts.NodeCounts(
-                    begun, held, idle, notUp, sent[0], sent[1], sent[2], turnedAway, timedOut);
+                    started, held, idle, failed, sent[0], sent[1], sent[2], rejected, timedOut);
         }
 
         /** Resets the counts of the second, and returns whether nothing is left to keep. */
         boolean reset() {
-            begun = 0;
+            started = 0;
             idle = 0;
-            notUp = 0;
-            turnedAway = 0;
+            failed = 0;
+            rejected = 0;
             timedOut = 0;
             sent[0] = 0;
             sent[1] = 0;
@@ -62,7 +62,7 @@
 
     @Override
     public void connectionStarted(String node) {
-        countsOf(node).begun++;
+        countsOf(node).started++;
     }
 
     @Override
@@ -77,7 +77,7 @@
 
     @Override
     public void connectionFailed(String node) {
-        countsOf(node).notUp++;
+        countsOf(node).failed++;
     }
 
     @Override
@@ -87,7 +87,7 @@
 
     @Override
     public void attemptRejected(String node) {
-        countsOf(node).turnedAway++;
+        countsOf(node).rejected++;
     }
 
     @Override
@@ -178,7 +178,7 @@
         }
         List<Map.Entry<String, SecondCounts.NodeCounts>> busiest = countsByNode.entrySet().stream()
                 .sorted(Comparator.comparingInt((Map.Entry<String, SecondCounts.NodeCounts> entry) ->
-                                -entry.getValue().sent() - entry.getValue().begun())
+                                -entry.getValue().sent() - entry.getValue().started())
                         .thenComparing(Map.Entry::getKey))
                 .toList();
         Map<String, SecondCounts.NodeCounts> kept = new HashMap<>();
--- a/src/test/java/ivybank/discovery/OutNodesTest.java
+++ b/src/test/java/ivybank/discovery/OutOfServiceNodesTest.java
@@ -15,7 +15,7 @@
 /**
  * Tests the entries that the decision module receives for nodes that operators take out of service, whatever discovery says.
  */
-class OutNodesTest {
+class OutOfServiceNodesTest {
 
     private static final double NOW_MS = 10_000;
     private static final Map<String, Double> OUT_OF_SERVICE = Map.of("a", 1000.0);
--- a/src/test/java/ivybank/handover/HandoverSnapshotTest.java
+++ b/src/test/java/ivybank/handover/HandoverSnapshotTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests the encoding, the validation and the files of handover snapshots. */
 class HandoverSnapshotTest {
 
     private static final double NOW_MS = 1.7e12;
--- a/src/test/java/ivybank/tally/SecondTallyTest.java
+++ b/src/test/java/ivybank/tally/SecondTallyTest.java
@@ -7,6 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests the counts of a second, their log line, and their bounds. */
 class SecondTallyTest {
 
     private final SecondTally tally = new SecondTally();
