--- a/src/main/java/ivybank/discovery/HostUpdate.java
+++ b/src/main/java/ivybank/discovery/HostUpdate.java
@@ -13,6 +13,7 @@
  */
 public record HostUpdate(long seq, boolean whole, boolean fromElsewhere, List<Entry> entries) {
 
+    /** The list where nothing is known. */
     public static final HostUpdate EMPTY = new HostUpdate(0, true, List.of());
 
     public HostUpdate(long seq, boolean whole, List<Entry> entries) {
--- a/src/main/java/ivybank/discovery/StartTimes.java
+++ b/src/main/java/ivybank/discovery/StartTimes.java
@@ -15,7 +15,9 @@
      * If a start lies further in the future than this, the local clock is behind: no node starts after it is reported.
      */
     private static final double CLOCK_TOLERANCE_MS = 1000;
-    /** Changes are reported within seconds; this includes outages of discovery and long deployments. */
+    /**
+     * Changes are reported within seconds, and within this time after an outage of discovery or in a long deployment.
+     */
     private static final double MAX_REPORT_DELAY_MS = 300_000;
     /** Starts within this time before the newest one count as simultaneous with it: no node warms up for longer. */
     private static final double SAME_WAVE_MS = 60_000;
--- a/src/main/java/ivybank/handover/HandoverParticipant.java
+++ b/src/main/java/ivybank/handover/HandoverParticipant.java
@@ -21,8 +21,8 @@
     default void recall(LearnedState<Integer> other, double confidence) {}
 
     /**
-     * Sets the attempts that the other processes of the sidecar have in flight, by node, and this process's share of the requests that
-     * all of them are handling.
+     * Sets the attempts that the other processes of the sidecar have in flight, by node, and this process's share of the requests
+     * that all of them are handling.
      */
     default void setSiblingLoad(Map<Integer, Integer> inFlight, double share) {}
 }
--- a/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -89,7 +89,7 @@
     public static HandoverSnapshot read(byte[] bytes) throws UnreadableSnapshotException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < HEADER_BYTES + CHECKSUM_BYTES || in.getInt() != MAGIC) {
-            throw new UnreadableSnapshotException(bytes.length == 0 ? "it is empty" : "it holds something else");
+            throw new UnreadableSnapshotException(bytes.length == 0 ? "it is empty" : "it has another format");
         }
         short version = in.getShort();
         if (version != VERSION) {
@@ -114,15 +114,15 @@
         double writtenMs = in.getDouble();
         int inHand = in.getInt();
         int descriptors = in.getInt();
-        double admitted = in.getDouble();
-        double extra = in.getDouble();
+        double admittedShare = in.getDouble();
+        double extraAttempts = in.getDouble();
         List<LearnedState.ClassState> classes = new ArrayList<>();
         for (int left = in.getInt(); left > 0; left--) {
             classes.add(new LearnedState.ClassState(in.getDouble(), in.getDouble(), in.getInt()));
         }
-        Map<Integer, Double> carried = new HashMap<>();
+        Map<Integer, Double> maxRateByKind = new HashMap<>();
         for (int left = in.getInt(); left > 0; left--) {
-            carried.put(in.getInt(), in.getDouble());
+            maxRateByKind.put(in.getInt(), in.getDouble());
         }
         Map<String, LearnedState.NodeState> nodes = new HashMap<>();
         for (int left = in.getInt(); left > 0; left--) {
@@ -134,7 +134,10 @@
                             in.getDouble(), in.getDouble(), in.getDouble(), in.getFloat(), in.getInt(), in.get() != 0));
         }
         return new HandoverSnapshot(
-                writtenMs, inHand, descriptors, new LearnedState<>(admitted, extra, classes, nodes, carried));
+                writtenMs,
+                inHand,
+                descriptors,
+                new LearnedState<>(admittedShare, extraAttempts, classes, nodes, maxRateByKind));
     }
 
     private static long checksum(byte[] bytes, int length) {
