--- a/src/main/java/ivybank/operator/OperatorFile.java
+++ b/src/main/java/ivybank/operator/OperatorFile.java
@@ -12,23 +12,23 @@
 import java.util.List;
 
 /**
- * What operators set beside the platform's configuration, in TOML: all that is new goes here, and without the file all of it
- * is off or standard. Read once, at the start.
+ * The settings that operators add to the platform's configuration, in TOML. New features are configured here; without
+ * the file they are off or at their defaults. Read once, at startup.
  */
 public record OperatorFile(Timing discovery, StoreSettings store, PeerSettings peers) {
 
     /**
-     * Where promises are kept, how large that may get, and how; null in its place: they are not. {@code firstStart}: a store may be
-     * made where there is none.
+     * Settings of the store that keeps promises; null in place of this record disables it. {@code firstStart} allows a
+     * store to be created where none exists.
      */
     public record StoreSettings(
             Path folder, Limits limits, boolean degrade, boolean firstStart, PromiseSettings promises) {}
 
-    private static final int LEAST_MS = 50;
-    private static final int MOST_MS = 600_000;
-    private static final int LEAST_SEGMENTS = 8;
+    private static final int MIN_DURATION_MS = 50;
+    private static final int MAX_DURATION_MS = 600_000;
+    private static final int MIN_SEGMENTS = 8;
 
-    /** The same, where the platform's settings are not known. */
+    /** Reads a file with the default settings of the platform. */
     public static OperatorFile read(Path file) throws InputException {
         return read(file, Timing.standard(false, Timing.USUAL_GRACE_MS));
     }
@@ -36,8 +36,9 @@
     /**
      * Reads a file.
      *
-     * @param standard how patient a sidecar is with discovery where the file does not say: by the platform's settings
-     * @throws InputException in one line, with file, key and what is allowed
+     * @param standard the discovery timing for keys that the file does not set, derived from the platform's settings
+     * @throws InputException if the file is unusable; the message is one line with the file, the key and what is
+     * allowed
      */
     public static OperatorFile read(Path file, Timing standard) throws InputException {
         String text;
@@ -50,10 +51,12 @@
         StrictTable discovery = root.table("discovery");
         OperatorFile read = new OperatorFile(
                 new Timing(
-                        discovery.integer("silence_ms", LEAST_MS, MOST_MS, standard.silenceMs()),
-                        discovery.integer("first_answer_ms", LEAST_MS, MOST_MS, standard.firstAnswerMs()),
-                        discovery.integer("connect_ms", LEAST_MS, MOST_MS, standard.connectMs()),
-                        discovery.number("longest_pause_ms", LEAST_MS, MOST_MS, standard.longestPauseMs()),
+                        discovery.integer("silence_ms", MIN_DURATION_MS, MAX_DURATION_MS, standard.silenceMs()),
+                        discovery.integer(
+                                "first_answer_ms", MIN_DURATION_MS, MAX_DURATION_MS, standard.firstAnswerMs()),
+                        discovery.integer("connect_ms", MIN_DURATION_MS, MAX_DURATION_MS, standard.connectMs()),
+                        discovery.number(
+                                "longest_pause_ms", MIN_DURATION_MS, MAX_DURATION_MS, standard.longestPauseMs()),
                         standard.asked()),
                 store(root),
                 peers(root));
@@ -62,7 +65,7 @@
         return read;
     }
 
-    /** Null: this sidecar knows of no other. */
+    /** Returns the settings of the peers, or null where the file has none: the sidecar then knows no other sidecar. */
     private static PeerSettings peers(StrictTable root) throws InputException {
         if (!root.has("peers")) {
             return null;
@@ -73,24 +76,25 @@
             throw peers.error(
                     "zone",
                     "is \"" + zone + "\": up to " + PeerSettings.MAX_ZONE_LENGTH
-                            + " letters, figures and signs without blanks are allowed");
+                            + " letters, digits and symbols without spaces are allowed");
         }
-        String lives = peers.text("life_file", "-");
+        String incarnationFile = peers.text("life_file", "-");
         PeerSettings read = new PeerSettings(
                 Path.of(peers.text("key_file", null)),
                 peers.text("fleet", "ivybank"),
                 zone.equals("-") ? "" : zone,
                 peers.has("listen") ? peers.text("listen", null) : "",
                 peers.texts("addresses"),
-                lives.equals("-") ? null : Path.of(lives));
+                incarnationFile.equals("-") ? null : Path.of(incarnationFile));
         peers.rejectUnknownKeys();
         return read;
     }
 
+    /** Returns the settings of the store, or null where the file has none: no promises are kept then. */
     private static StoreSettings store(StrictTable root) throws InputException {
         if (!root.has("store")) {
             if (root.has("promises")) {
-                throw root.error("promises", "needs a [store] to be kept in");
+                throw root.error("promises", "needs a [store] section that keeps the promises");
             }
             return null;
         }
@@ -99,13 +103,12 @@
         int segmentKb = store.integer("segment_kb", 64, 1 << 18, 1024);
         int diskMb = store.integer("disk_mb", 1, 1 << 20, 64);
         int valueKb = store.integer("value_kb", 1, 1 << 14, 64);
-        if (diskMb * 1024L < (long) segmentKb * LEAST_SEGMENTS) {
+        if (diskMb * 1024L < (long) segmentKb * MIN_SEGMENTS) {
             throw store.error(
-                    "disk_mb",
-                    "is " + diskMb + ": room for " + LEAST_SEGMENTS + " segments of segment_kb at least is needed");
+                    "disk_mb", "is " + diskMb + ": at least " + MIN_SEGMENTS + " segments of segment_kb must fit");
         }
         if (valueKb * 2 > segmentKb) {
-            throw store.error("value_kb", "is " + valueKb + ": half of segment_kb at most is allowed");
+            throw store.error("value_kb", "is " + valueKb + ": at most half of segment_kb is allowed");
         }
         StoreSettings read = new StoreSettings(
                 Path.of(store.text("folder", null)),
--- a/src/main/java/ivybank/operator/package-info.java
+++ b/src/main/java/ivybank/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operator file. */
+/** The operator file: settings that operators add to the configuration of the platform. */
 package ivybank.operator;
--- a/src/main/java/ivybank/toml/InputException.java
+++ b/src/main/java/ivybank/toml/InputException.java
@@ -1,6 +1,9 @@
 package ivybank.toml;
 
-/** An input that can't be used: its message is one line that says where, what is wrong and what is allowed. */
+/**
+ * Signals an unusable input. The message is one line that says where the input is wrong, what is wrong and what is
+ * allowed.
+ */
 public final class InputException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/ivybank/toml/package-info.java
+++ b/src/main/java/ivybank/toml/package-info.java
@@ -1,2 +1,2 @@
-/** Strict reading of TOML files. */
+/** Strict parsing of TOML files, with errors that name the key and what is allowed. */
 package ivybank.toml;
