--- a/src/main/java/ivybank/control/AdminEndpoint.java
+++ b/src/main/java/ivybank/control/AdminEndpoint.java
@@ -41,40 +41,43 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Where operators call: HTTP/1.1, one call for each connection, on a thread of its own, so that a busy event loop delays
- * no call that needs nothing of it. An order is put on file, obeyed, and only then answered with a yes. What
- * another process of this sidecar has put on file is obeyed as well. Guards against callers that never finish: they are
- * closed after a while, the oldest at once where there are many.
+ * The admin endpoint for operators: HTTP/1.1 with one call per connection, on a thread of its own, so that a busy event
+ * loop delays no call that does not need it. An order is written to file and applied before it is confirmed. Orders
+ * that another process of this sidecar has written are applied as well. Guards against callers that never finish: they
+ * are disconnected after a timeout, and the oldest at once where there are too many.
  */
 public final class AdminEndpoint {
 
-    private static final int LONGEST_CALL = 4096;
-    private static final int MOST_CALLERS = 12;
-    private static final long LONGEST_CALL_MS = 5000;
-    private static final long LOOK_MS = 50;
-    private static final int LONGEST_ID = 256;
+    private static final int MAX_CALL_BYTES = 4096;
+    private static final int MAX_CALLERS = 12;
+    private static final long CALL_TIMEOUT_MS = 5000;
+    private static final long POLL_INTERVAL_MS = 50;
+    private static final int MAX_NODE_ID_LENGTH = 256;
 
     private final AdminTarget sidecar;
     private final Clock clock;
     private final Log log;
-    private final Path folder; // null where nothing lasts
+    private final Path folder; // null: the maintenance state ends with the process
     private MaintenanceFile file;
-    private SiblingProcesses company; // null until it has been joined
-    private boolean inCompany;
+    private SiblingProcesses siblings; // null until this process has registered
+    private boolean siblingPresent;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Deque<Channel> callers = new ArrayDeque<>();
-    /** The orders on file, and the same with the times at which this process saw them. */
-    private MaintenanceState orders = MaintenanceState.NONE;
+    /** The state on file, and the same state with the times at which this process observed it. */
+    private MaintenanceState stateOnFile = MaintenanceState.NONE;
 
-    private MaintenanceState seen = MaintenanceState.NONE;
-    private boolean unreadable;
+    private MaintenanceState observedState = MaintenanceState.NONE;
+    private boolean pollFailing;
 
     /**
-     * @param folder where the processes of this sidecar leave word for each other; null where there is no such place
-     * @param company where this process has joined the others already; null to do so
+     * Creates the endpoint; it does not listen yet.
+     *
+     * @param folder the folder shared by the processes of this sidecar; null where there is none: the maintenance state
+     * then ends with the process
+     * @param siblings the other processes, if this process has registered with them already; null to register here
      */
-    public AdminEndpoint(AdminTarget sidecar, Path folder, SiblingProcesses company, Clock clock, Log log) {
-        this.company = company;
+    public AdminEndpoint(AdminTarget sidecar, Path folder, SiblingProcesses siblings, Clock clock, Log log) {
+        this.siblings = siblings;
         this.sidecar = sidecar;
         this.clock = clock;
         this.log = log;
@@ -82,9 +85,9 @@
         this.file = folder == null ? null : new MaintenanceFile(folder);
     }
 
-    /** Obeys what is on file and opens; returns the address that it has. */
+    /** Applies the state on file, listens, and returns the bound address. */
     public InetSocketAddress open(InetSocketAddress address) throws IOException {
-        group.next().submit(this::look).syncUninterruptibly();
+        group.next().submit(this::poll).syncUninterruptibly();
         ChannelFuture bound = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -92,9 +95,9 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        admit(channel);
+                        register(channel);
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(LONGEST_CALL), new Call());
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_CALL_BYTES), new Call());
                     }
                 })
                 .bind(address)
@@ -104,67 +107,68 @@
             throw new IOException("cannot listen for operators on " + address + ": "
                     + bound.cause().getMessage());
         }
-        PeriodicTask.start("look at the orders", group.next(), clock, log, LOOK_MS, this::look);
+        PeriodicTask.start("poll of the maintenance state", group.next(), clock, log, POLL_INTERVAL_MS, this::poll);
         return (InetSocketAddress) bound.channel().localAddress();
     }
 
-    private void admit(Channel caller) {
-        if (callers.size() >= MOST_CALLERS) {
+    private void register(Channel caller) {
+        if (callers.size() >= MAX_CALLERS) {
             callers.pollFirst().close();
         }
         callers.addLast(caller);
         caller.closeFuture().addListener(closed -> callers.remove(caller));
-        caller.eventLoop().schedule(() -> caller.close(), LONGEST_CALL_MS, TimeUnit.MILLISECONDS);
+        caller.eventLoop().schedule(() -> caller.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Obeys what another process has put on file. */
-    private void look() {
+    /** Checks for other processes, and applies the state that another process has written. */
+    private void poll() {
         if (file == null) {
             return;
         }
         try {
-            company = company == null ? SiblingProcesses.join(folder) : company;
-            if (company.others() != inCompany) {
-                inCompany = !inCompany;
+            siblings = siblings == null ? SiblingProcesses.join(folder) : siblings;
+            if (siblings.hasOthers() != siblingPresent) {
+                siblingPresent = !siblingPresent;
                 log.line(
-                        inCompany
+                        siblingPresent
                                 ? "another process of this sidecar is here"
                                 : "no other process of this sidecar is here any more");
-                sidecar.company(inCompany);
+                sidecar.siblingPresent(siblingPresent);
             }
-            hold(file.read());
-            unreadable = false;
+            apply(file.read());
+            pollFailing = false;
         } catch (IOException | RuntimeException e) {
-            if (!unreadable) {
-                log.line("orders: going on as before: " + e);
+            if (!pollFailing) {
+                log.line("admin: the maintenance state cannot be read, keeping the current one: " + e);
             }
-            unreadable = true;
+            pollFailing = true;
         }
     }
 
-    private CompletionStage<Void> hold(MaintenanceState next) {
-        if (next.equals(orders)) {
+    private CompletionStage<Void> apply(MaintenanceState next) {
+        if (next.equals(stateOnFile)) {
             return CompletableFuture.completedFuture(null);
         }
-        MaintenanceState here = next.asSeen(orders, seen, clock.nowMs());
-        log.line("orders: out " + next.out().keySet() + (next.standsBy() ? ", standing by" : ", taking clients"));
-        orders = next;
-        seen = here;
-        return sidecar.obey(here);
+        MaintenanceState here = next.withObservedTimes(stateOnFile, observedState, clock.nowMs());
+        log.line("admin: in maintenance: " + next.nodesInMaintenance().keySet()
+                + (next.isOnStandby() ? ", on standby" : ", accepting clients"));
+        stateOnFile = next;
+        observedState = here;
+        return sidecar.applyMaintenance(here);
     }
 
-    /** An order: on file, obeyed, and then a yes. */
-    private CompletionStage<Reply> order(UnaryOperator<MaintenanceState> change) {
+    /** Writes a change to file, applies it, and then confirms it. */
+    private CompletionStage<Reply> change(UnaryOperator<MaintenanceState> change) {
         MaintenanceState next;
         try {
-            // Under the file's lock and from what is there: another process may have been called meanwhile.
-            next = file == null ? change.apply(orders) : file.change(change);
+            // Starts from the state on file, under its lock: another process may have changed it meanwhile.
+            next = file == null ? change.apply(stateOnFile) : file.change(change);
         } catch (IOException e) {
-            log.line("orders: no longer on file, the next process won't know them: " + e);
+            log.line("admin: the maintenance state cannot be written and ends with this process: " + e);
             file = null;
-            next = change.apply(orders);
+            next = change.apply(stateOnFile);
         }
-        return hold(next).thenApply(done -> Reply.YES);
+        return apply(next).thenApply(done -> Reply.YES);
     }
 
     private CompletionStage<Reply> maintenance(FullHttpRequest call, boolean out) {
@@ -172,60 +176,65 @@
         try {
             body = Json.MAPPER.readTree(ByteBufUtil.getBytes(call.content()));
         } catch (IOException e) {
-            return no(HttpResponseStatus.BAD_REQUEST, "the body is not JSON");
+            return rejection(HttpResponseStatus.BAD_REQUEST, "the body is not JSON");
         }
         String node = body.path("host").isTextual() ? body.get("host").asText() : "";
-        if (node.isEmpty() || node.length() > LONGEST_ID) {
-            return no(HttpResponseStatus.BAD_REQUEST, "the body names no host");
+        if (node.isEmpty() || node.length() > MAX_NODE_ID_LENGTH) {
+            return rejection(HttpResponseStatus.BAD_REQUEST, "the body names no host");
         }
-        return sidecar.knows(node)
+        return sidecar.isKnownNode(node)
                 .thenComposeAsync(
                         known -> {
-                            if (!known && !orders.isOut(node)) {
-                                return no(HttpResponseStatus.NOT_FOUND, "there is no " + node);
+                            if (!known && !stateOnFile.isInMaintenance(node)) {
+                                return rejection(HttpResponseStatus.NOT_FOUND, "there is no " + node);
                             }
-                            if (out && !orders.isOut(node) && orders.out().size() >= MaintenanceState.MOST_OUT) {
-                                return no(HttpResponseStatus.CONFLICT, "too many are out");
+                            if (out
+                                    && !stateOnFile.isInMaintenance(node)
+                                    && stateOnFile.nodesInMaintenance().size()
+                                            >= MaintenanceState.MAX_NODES_IN_MAINTENANCE) {
+                                return rejection(HttpResponseStatus.CONFLICT, "too many are out");
                             }
                             double nowMs = clock.nowMs();
-                            return order(out ? now -> now.takeOut(node, nowMs) : now -> now.callBack(node));
+                            return change(
+                                    out ? now -> now.enterMaintenance(node, nowMs) : now -> now.exitMaintenance(node));
                         },
                         group.next());
     }
 
     private CompletionStage<Reply> answer(FullHttpRequest call) {
         if (call.decoderResult().isFailure()) {
-            return no(HttpResponseStatus.BAD_REQUEST, "can't be read");
+            return rejection(HttpResponseStatus.BAD_REQUEST, "can't be read");
         }
         String path = call.uri().split("\\?", 2)[0];
         HttpMethod method = path.equals("/status") || path.equals("/fleet") ? HttpMethod.GET : HttpMethod.PUT;
-        CompletionStage<Reply> wrongMethod =
-                call.method().equals(method) ? null : no(HttpResponseStatus.METHOD_NOT_ALLOWED, "ask with " + method);
+        CompletionStage<Reply> wrongMethod = call.method().equals(method)
+                ? null
+                : rejection(HttpResponseStatus.METHOD_NOT_ALLOWED, "ask with " + method);
         double nowMs = clock.nowMs();
         return switch (path) {
             case "/status" ->
                 wrongMethod != null
                         ? wrongMethod
-                        : sidecar.serves()
+                        : sidecar.isServing()
                                 ? CompletableFuture.completedFuture(Reply.YES)
-                                : no(HttpResponseStatus.SERVICE_UNAVAILABLE, "not yet");
+                                : rejection(HttpResponseStatus.SERVICE_UNAVAILABLE, "not yet");
             case "/fleet" -> wrongMethod != null ? wrongMethod : fleet();
             case "/maintenance/enter", "/maintenance/exit" ->
                 wrongMethod != null ? wrongMethod : maintenance(call, path.endsWith("enter"));
-            case "/standby" -> wrongMethod != null ? wrongMethod : order(now -> now.standBy(nowMs));
-            case "/active" -> wrongMethod != null ? wrongMethod : order(MaintenanceState::activate);
-            default -> no(HttpResponseStatus.NOT_FOUND, "no such call");
+            case "/standby" -> wrongMethod != null ? wrongMethod : change(now -> now.enterStandby(nowMs));
+            case "/active" -> wrongMethod != null ? wrongMethod : change(MaintenanceState::exitStandby);
+            default -> rejection(HttpResponseStatus.NOT_FOUND, "no such call");
         };
     }
 
     private CompletionStage<Reply> fleet() {
-        CompletionStage<String> view = sidecar.fleet();
+        CompletionStage<String> view = sidecar.fleetView();
         return view == null
-                ? no(HttpResponseStatus.NOT_FOUND, "this sidecar has no [peers] in its operator file")
+                ? rejection(HttpResponseStatus.NOT_FOUND, "this sidecar has no [peers] in its operator file")
                 : view.thenApply(json -> new Reply(HttpResponseStatus.OK, json));
     }
 
-    private static CompletionStage<Reply> no(HttpResponseStatus status, String why) {
+    private static CompletionStage<Reply> rejection(HttpResponseStatus status, String why) {
         return CompletableFuture.completedFuture(new Reply(status, why));
     }
 
@@ -233,7 +242,7 @@
         private static final Reply YES = new Reply(HttpResponseStatus.OK, "yes");
     }
 
-    /** One call. */
+    /** Handles one call. */
     private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
--- a/src/main/java/ivybank/control/AdminTarget.java
+++ b/src/main/java/ivybank/control/AdminTarget.java
@@ -3,21 +3,21 @@
 import ivybank.operations.MaintenanceState;
 import java.util.concurrent.CompletionStage;
 
-/** The sidecar, as the operators' door sees it. Called on the door's thread. */
+/** The sidecar as the admin endpoint sees it. Called on the thread of the admin endpoint. */
 public interface AdminTarget {
 
-    /** Whether this process can serve now. */
-    boolean serves();
+    /** Returns whether this process can serve now. */
+    boolean isServing();
 
-    /** Whether there is a node of this id. */
-    CompletionStage<Boolean> knows(String node);
+    /** Returns whether a node with this id is known. */
+    CompletionStage<Boolean> isKnownNode(String node);
 
-    /** The view of the other sidecars as JSON; null where there is none. */
-    CompletionStage<String> fleet();
+    /** Returns the view of the fleet as JSON, or null where the sidecar has no peers. */
+    CompletionStage<String> fleetView();
 
-    /** Tells whether another process of this sidecar is here. */
-    void company(boolean another);
+    /** Notifies the sidecar whether another process of it is running. */
+    void siblingPresent(boolean present);
 
-    /** Makes these orders hold, all of them; done when they do. */
-    CompletionStage<Void> obey(MaintenanceState orders);
+    /** Applies a maintenance state as a whole; completes when it is in effect. */
+    CompletionStage<Void> applyMaintenance(MaintenanceState state);
 }
--- a/src/main/java/ivybank/control/MaintenanceFile.java
+++ b/src/main/java/ivybank/control/MaintenanceFile.java
@@ -16,32 +16,33 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The orders on file, for the processes of one sidecar: the one that serves and the one that takes over. Changed under a
- * lock and replaced whole, so that a reader sees the orders before or after a change. Used by one thread of a process.
+ * The file that shares the maintenance state between the processes of one sidecar: the one that serves and its
+ * successor. Changed under a file lock and replaced atomically, so that a reader sees the state before or after a
+ * change. Used by one thread of a process.
  */
 final class MaintenanceFile {
 
-    private static final String NAME = "ivybank-orders.json";
+    private static final String FILE_NAME = "ivybank-orders.json";
 
     private final Path file;
     private final Path lock;
 
     MaintenanceFile(Path folder) {
-        file = folder.resolve(NAME);
-        lock = folder.resolve(NAME + ".lock");
+        file = folder.resolve(FILE_NAME);
+        lock = folder.resolve(FILE_NAME + ".lock");
     }
 
-    /** The orders on file; none where there is no file yet. */
+    /** Returns the state on file, or {@link MaintenanceState#NONE} where no file exists yet. */
     MaintenanceState read() throws IOException {
-        byte[] text;
+        byte[] content;
         try {
-            text = Files.readAllBytes(file);
+            content = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
             return MaintenanceState.NONE;
         }
-        JsonNode root = Json.MAPPER.readTree(text);
+        JsonNode root = Json.MAPPER.readTree(content);
         if (!root.path("out").isObject() || !root.path("standby_since_ms").isNumber()) {
-            throw new IOException(file + " holds no orders");
+            throw new IOException(file + " holds no maintenance state");
         }
         SortedMap<String, Double> out = new TreeMap<>();
         root.get("out")
@@ -50,11 +51,11 @@
         return new MaintenanceState(out, root.get("standby_since_ms").asDouble());
     }
 
-    /** Changes the orders on file, whoever else does so, and returns what holds then. */
-    @SuppressWarnings("ReferenceEquality") // an unchanged result is the same object
+    /** Changes the state on file, also while other processes change it, and returns the result. */
+    @SuppressWarnings("ReferenceEquality") // a change without effect returns the same object
     MaintenanceState change(UnaryOperator<MaintenanceState> change) throws IOException {
         try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            channel.lock(); // until the channel is closed
+            channel.lock(); // released when the channel is closed
             MaintenanceState before = read();
             MaintenanceState after = change.apply(before);
             if (after != before) {
@@ -64,12 +65,12 @@
         }
     }
 
-    private void write(MaintenanceState orders) throws IOException {
+    private void write(MaintenanceState state) throws IOException {
         ObjectNode root = Json.MAPPER.createObjectNode();
         ObjectNode out = root.putObject("out");
-        orders.out().forEach(out::put);
-        root.put("standby_since_ms", orders.standbySinceMs());
-        Path next = file.resolveSibling(NAME + ".next");
+        state.nodesInMaintenance().forEach(out::put);
+        root.put("standby_since_ms", state.standbySinceMs());
+        Path next = file.resolveSibling(FILE_NAME + ".next");
         Files.write(next, Json.MAPPER.writeValueAsBytes(root));
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
--- a/src/main/java/ivybank/control/SiblingProcesses.java
+++ b/src/main/java/ivybank/control/SiblingProcesses.java
@@ -10,52 +10,52 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The processes of one sidecar that are there at the same time, by a file of each in the folder that they share. A process
- * holds the lock of its own, which ends with it however it ends. Used by one thread of a process.
+ * Tracks the processes of one sidecar that run at the same time, by one file per process in a shared folder. A process
+ * holds the lock on its own file; the lock ends with the process, however that ends. Used by one thread of a process.
  */
 public final class SiblingProcesses {
 
-    private static final String FORM = "ivybank-*.process";
+    private static final String FILE_PATTERN = "ivybank-*.process";
 
     private final Path folder;
     private final Path own;
-    /** Kept, for a channel that nothing refers to is closed, and the lock with it. */
-    private final FileChannel held;
+    /** Keeps the lock: an unreferenced channel is closed, which releases it. */
+    private final FileChannel lockChannel;
 
-    /** Leaves word in the folder that this process is here, for as long as it is. */
+    /** Registers this process in the folder for as long as it runs. */
     public static SiblingProcesses join(Path folder) throws IOException {
-        Path making = Files.createTempFile(folder, "ivybank-", ".joining");
-        FileChannel held = FileChannel.open(making, StandardOpenOption.WRITE);
-        held.lock(); // never released
-        // Only now, for the others remove a file that nobody holds.
-        Path own = making.resolveSibling(making.getFileName().toString().replace(".joining", ".process"));
-        Files.move(making, own, StandardCopyOption.ATOMIC_MOVE);
+        Path unlocked = Files.createTempFile(folder, "ivybank-", ".joining");
+        FileChannel lockChannel = FileChannel.open(unlocked, StandardOpenOption.WRITE);
+        lockChannel.lock(); // never released
+        // Renamed only after locking, because other processes remove files that are not locked.
+        Path own = unlocked.resolveSibling(unlocked.getFileName().toString().replace(".joining", ".process"));
+        Files.move(unlocked, own, StandardCopyOption.ATOMIC_MOVE);
         own.toFile().deleteOnExit();
-        return new SiblingProcesses(folder, own, held);
+        return new SiblingProcesses(folder, own, lockChannel);
     }
 
-    private SiblingProcesses(Path folder, Path own, FileChannel held) {
+    private SiblingProcesses(Path folder, Path own, FileChannel lockChannel) {
         this.folder = folder;
         this.own = own;
-        this.held = held;
+        this.lockChannel = lockChannel;
     }
 
-    /** Whether another process is here; the files of those that have ended are removed. */
-    public boolean others() throws IOException {
-        boolean others = false;
-        if (!held.isOpen()) {
-            throw new IOException(own + " is no longer held by this process");
+    /** Returns whether another process is running; removes the files of processes that have ended. */
+    public boolean hasOthers() throws IOException {
+        boolean hasOthers = false;
+        if (!lockChannel.isOpen()) {
+            throw new IOException(own + " is no longer locked by this process");
         }
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FORM)) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PATTERN)) {
             for (Path file : files) {
-                // Its own must not even be opened: to close it again would end its lock.
-                others |= !file.equals(own) && isHeld(file);
+                // The own file must not even be opened: closing it again would release the lock.
+                hasOthers |= !file.equals(own) && isLocked(file);
             }
         }
-        return others;
+        return hasOthers;
     }
 
-    private static boolean isHeld(Path file) throws IOException {
+    private static boolean isLocked(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             if (channel.tryLock() == null) {
                 return true;
@@ -63,7 +63,7 @@
             Files.delete(file);
             return false;
         } catch (NoSuchFileException e) {
-            return false; // it has ended meanwhile
+            return false; // the process has ended meanwhile
         }
     }
 }
--- a/src/main/java/ivybank/control/package-info.java
+++ b/src/main/java/ivybank/control/package-info.java
@@ -1,2 +1,2 @@
-/** The admin endpoint and the orders kept on file. */
+/** The admin endpoint and the maintenance state kept on file. */
 package ivybank.control;
--- a/src/main/java/ivybank/daemon/AdminStartup.java
+++ b/src/main/java/ivybank/daemon/AdminStartup.java
@@ -10,49 +10,54 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Opens the door for operators. A class of its own, so that a sidecar without one loads nothing of it. */
+/** Opens the admin endpoint. A class of its own, so that a sidecar without one loads none of its classes. */
 final class AdminStartup {
 
     private AdminStartup() {}
 
     /**
-     * Lets the process that this one takes over from know of it, before anything else: to start takes half of the core that
-     * both have, and that one must have made room by then. Null where there is no such process.
+     * Registers this process with the one that it takes over from, before anything else: starting takes half of the
+     * core that both share, and the other process must have freed that capacity by then. Returns null where there is no
+     * such process.
      */
-    static SiblingProcesses join(Map<String, String> environment) throws IOException {
-        Path folder = folder(environment);
-        return folder == null
+    static SiblingProcesses register(Map<String, String> environment) throws IOException {
+        Path sharedFolder = sharedFolder(environment);
+        return sharedFolder == null
                         || environment
                                 .getOrDefault(InheritedListener.VARIABLE, "")
                                 .isBlank()
                 ? null
-                : SiblingProcesses.join(folder);
+                : SiblingProcesses.join(sharedFolder);
     }
 
-    /** The same, or null where the folder can't be written now: the admin endpoint joins as soon as it can. */
-    static SiblingProcesses joinIfPossible(Map<String, String> environment) {
+    /**
+     * Does the same as {@link #register}, but returns null where the folder cannot be written now: the admin endpoint
+     * then registers as soon as it can.
+     */
+    static SiblingProcesses registerIfPossible(Map<String, String> environment) {
         try {
-            return join(environment);
+            return register(environment);
         } catch (IOException e) {
-            System.err.println("other processes of this sidecar are looked for later: " + e);
+            System.err.println("cannot register with other processes of this sidecar yet, will retry: " + e);
             return null;
         }
     }
 
-    /** Where the processes of a sidecar leave word for each other; null where there is no such place. */
-    static Path folder(Map<String, String> environment) {
-        String folder = environment.getOrDefault("TMPDIR", "");
-        return folder.isBlank() ? null : Path.of(folder);
+    /** Returns the folder shared by the processes of a sidecar, or null where there is none. */
+    static Path sharedFolder(Map<String, String> environment) {
+        String sharedFolder = environment.getOrDefault("TMPDIR", "");
+        return sharedFolder.isBlank() ? null : Path.of(sharedFolder);
     }
 
+    /** Opens the admin endpoint of the sidecar. */
     static void open(
             AdminTarget sidecar,
             InetSocketAddress address,
             Map<String, String> environment,
-            SiblingProcesses company,
+            SiblingProcesses siblings,
             Clock clock,
             Log log)
             throws IOException {
-        new AdminEndpoint(sidecar, folder(environment), company, clock, log).open(address);
+        new AdminEndpoint(sidecar, sharedFolder(environment), siblings, clock, log).open(address);
     }
 }
--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -20,26 +20,32 @@
 import java.util.stream.IntStream;
 
 /**
- * Begins the attempts that the module asks for: each within the time that is left to its request, and, where the request is
- * kept on record, only once it is recorded that it may run. On one event loop; times are in milliseconds.
+ * Starts the attempts that the decision module requests: each within the time left to its request and, for a request
+ * that is kept on record, only after the record is stored. Used on one event loop; times are in milliseconds.
  */
 final class AttemptSender {
 
-    /** Hears what becomes of attempts. */
+    /** Receives the outcome of attempts. */
     interface Listener {
 
-        /** A long answer has begun: the client gets what comes of it, and nothing else any more. */
-        void began(Exchange exchange, int number, double sentMs, Answer answer);
+        /** A streamed answer has begun: the client gets the rest of it, and no other answer. */
+        void responseStarted(Exchange exchange, int number, double sentMs, Answer answer);
 
-        /** An attempt, which counts since {@code sentMs}, has ended. */
-        void ended(Exchange exchange, int number, double sentMs, Ending ending);
+        /** An attempt has ended; its time counts from {@code sentMs}. */
+        void attemptEnded(Exchange exchange, int number, double sentMs, Ending ending);
 
-        /** It can't be put on record that the request may run: nothing of it has gone out, and nothing will. */
-        void unrecorded(Exchange exchange);
+        /**
+         * The record that the request may run could not be stored: nothing of the request has been sent, and nothing
+         * will be.
+         */
+        void recordFailed(Exchange exchange);
     }
 
-    /** What a node is told over what its client has left at least, of the slack that is allowed. */
-    private static final double TOLD_SLACK_MS = 100;
+    /**
+     * Limits by how much the budget forwarded to a node exceeds the minimum time that its client has left; a part of
+     * the allowed slack.
+     */
+    private static final double MAX_FORWARDED_BUDGET_EXCESS_MS = 100;
 
     private final Settings settings;
     private final Clock clock;
@@ -56,41 +62,42 @@
         this.listener = listener;
     }
 
-    /** From now on tells this of attempts. */
-    void countIn(Tally counts) {
+    /** Sets the tally that attempts are counted in. */
+    void setTally(Tally counts) {
         tally = counts;
     }
 
-    /** From now on sends nothing by a list that this lease no longer covers, nor what the guard denies. */
-    void heeds(ListLease listLease, InvariantGuard invariants) {
+    /** Sends nothing from now on by a list that this lease no longer covers, nor what the guard denies. */
+    void enforce(ListLease listLease, InvariantGuard invariants) {
         lease = listLease;
         guard = invariants;
     }
 
     /**
-     * Begins an attempt. It ends at once, as not sent, where the request is over, has no time left, or may not be sent again.
+     * Starts an attempt. It ends immediately as not sent where the request is closed, has no time left, or may not be
+     * sent again.
      *
-     * @param timeoutMs for the attempt; 0 for as long as the request has
-     * @param atOnce whether the module asked for it as soon as it was told of the request
+     * @param timeoutMs the timeout of the attempt; 0 for the time that the request has left
+     * @param immediate whether the module requested the attempt while it was notified of the request
      */
-    void send(Exchange exchange, Node node, double timeoutMs, boolean atOnce) {
+    void send(Exchange exchange, Node node, double timeoutMs, boolean immediate) {
         double nowMs = clock.nowMs();
-        double leftMs = exchange.deadlineMs - RequestDeadline.reserveMs(exchange.request) - nowMs;
-        double mostMs = timeoutMs == 0 ? leftMs : Math.min(timeoutMs, leftMs);
+        double remainingMs = exchange.deadlineMs - RequestDeadline.reserveMs(exchange.request) - nowMs;
+        double attemptTimeoutMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
         int number = exchange.attempts.size();
         UpstreamAttempt attempt =
-                new UpstreamAttempt(node, exchange.request, mostMs, listener(exchange, node, number, nowMs));
+                new UpstreamAttempt(node, exchange.request, attemptTimeoutMs, listener(exchange, node, number, nowMs));
         exchange.attempts.add(attempt);
-        exchange.out++;
-        if (exchange.over
-                || exchange.isBodySpent()
-                || mostMs <= 0
+        exchange.inFlight++;
+        if (exchange.closed
+                || exchange.isBodyConsumed()
+                || attemptTimeoutMs <= 0
                 || lease.hasLapsed(nowMs)
                 || number >= settings.limits().maxAttempts()) {
             attempt.end(Ending.of(Outcome.NOT_SENT));
             return;
         }
-        count(exchange, node, nowMs, number == 0, atOnce);
+        count(exchange, node, nowMs, number == 0, immediate);
         send(exchange, attempt);
     }
 
@@ -98,12 +105,12 @@
         return new UpstreamAttempt.Listener() {
             @Override
             public void began(Answer answer) {
-                listener.began(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), answer);
+                listener.responseStarted(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), answer);
             }
 
             @Override
             public double mostToldMs() {
-                return exchange.leastLeftMs(clock.nowMs()) + TOLD_SLACK_MS;
+                return exchange.minClientLeftMs(clock.nowMs()) + MAX_FORWARDED_BUDGET_EXCESS_MS;
             }
 
             @Override
@@ -113,7 +120,7 @@
 
             @Override
             public void ended(Ending ending) {
-                listener.ended(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), ending);
+                listener.attemptEnded(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), ending);
             }
         };
     }
@@ -126,11 +133,11 @@
                 .toList();
         return new Transmission(
                 node.ready,
-                exchange.over,
+                exchange.closed,
                 lease.hasLapsed(nowMs),
                 toldMs,
-                exchange.clientLeftMs(nowMs),
-                exchange.leastLeftMs(nowMs),
+                exchange.maxClientLeftMs(nowMs),
+                exchange.minClientLeftMs(nowMs),
                 Repeat.of(
                         settings.classes().get(exchange.request.requestClass()),
                         others,
@@ -139,9 +146,9 @@
                         nowMs));
     }
 
-    private void count(Exchange exchange, Node node, double nowMs, boolean first, boolean atOnce) {
+    private void count(Exchange exchange, Node node, double nowMs, boolean first, boolean immediate) {
         if (first && !exchange.request.arriving()) {
-            tally.took(atOnce ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
+            tally.took(immediate ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
         }
         double startedMs = node.startedMs();
         double ageMs = startedMs <= 0 ? Double.POSITIVE_INFINITY : nowMs - startedMs;
@@ -157,19 +164,19 @@
             attempt.goOut();
             pool.send(attempt);
         } else {
-            record.record(() -> sendUnlessEnded(exchange, attempt), () -> unrecorded(exchange, attempt));
+            record.record(() -> sendUnlessEnded(exchange, attempt), () -> endUnrecorded(exchange, attempt));
         }
     }
 
-    /** It may have been called off while it was put on record. */
+    /** Sends the attempt unless it was cancelled while the record was being stored. */
     private void sendUnlessEnded(Exchange exchange, UpstreamAttempt attempt) {
         if (!attempt.ended()) {
             send(exchange, attempt);
         }
     }
 
-    private void unrecorded(Exchange exchange, UpstreamAttempt attempt) {
-        listener.unrecorded(exchange);
+    private void endUnrecorded(Exchange exchange, UpstreamAttempt attempt) {
+        listener.recordFailed(exchange);
         attempt.end(Ending.of(Outcome.CANCELLED));
     }
 }
--- a/src/main/java/ivybank/daemon/Config.java
+++ b/src/main/java/ivybank/daemon/Config.java
@@ -17,14 +17,14 @@
 import java.util.Map;
 
 /**
- * All that a sidecar is told by its environment and the configuration file that it names; {@code control} may be null,
- * and {@code limits} is for the log.
+ * The configuration of a sidecar, from its environment and the configuration file that the environment names. {@code
+ * adminAddress} is null without an admin endpoint; {@code limitsSummary} is for the log.
  */
 record Config(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        InetSocketAddress control,
+        InetSocketAddress adminAddress,
         long seed,
         int sockets,
         double connectTimeoutMs,
@@ -34,20 +34,21 @@
         List<String> kinds,
         HostUpdate known,
         Settings settings,
-        String limits) {
+        String limitsSummary) {
 
-    /** The variable that names the configuration file. */
-    static final String FILE = "EDGE_CONFIG";
+    /** The environment variable that names the configuration file. */
+    static final String FILE_VARIABLE = "EDGE_CONFIG";
 
-    private static final int SOCKETS_UNKNOWN = 1024;
-    private static final double CONNECT_TIMEOUT_MS_UNKNOWN = 250;
-    private static final double IDLE_MS_UNKNOWN = 15_000;
-    private static final int HEX = 16;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+    private static final double DEFAULT_CONNECTION_IDLE_MS = 15_000;
+    private static final int HEX_RADIX = 16;
 
+    /** Loads the configuration from the file that the environment names. */
     static Config load(Map<String, String> environment) throws ConfigException {
-        String file = environment.get(FILE);
+        String file = environment.get(FILE_VARIABLE);
         if (file == null || file.isBlank()) {
-            throw new ConfigException(FILE + " is not set: it names the configuration file");
+            throw new ConfigException(FILE_VARIABLE + " is not set: it names the configuration file");
         }
         JsonNode root;
         try {
@@ -62,26 +63,29 @@
         }
     }
 
-    /** The discovery that the file names, unchecked beyond that; null where it can't be read. */
-    static InetSocketAddress discoveryIn(String file) {
+    /** Returns the address of discovery in the file, without checking the rest, or null if it cannot be read. */
+    static InetSocketAddress readDiscovery(String file) {
         try {
             return Addresses.parse(Json.MAPPER
                     .readTree(Files.readAllBytes(Path.of(file)))
                     .path("discovery")
                     .asText(""));
-        } catch (IOException | IllegalArgumentException e) { // a path that is none among them
+        } catch (IOException | IllegalArgumentException e) { // including an invalid path
             return null;
         }
     }
 
-    /** Where this sidecar listens for the others, and the addresses of all; empty texts and lists where the file has none. */
+    /**
+     * The address on which this sidecar listens for peers, and the addresses of all peers; empty where the file has
+     * none.
+     */
     record PeerAddresses(String listen, List<String> all) {}
 
     /** Reads the part of the configuration that only a sidecar with peers needs. */
-    static PeerAddresses peersIn(String file) throws ConfigException {
+    static PeerAddresses readPeerAddresses(String file) throws ConfigException {
         try {
             JsonNode root = Json.MAPPER.readTree(Files.readAllBytes(Path.of(file)));
-            return new PeerAddresses(root.path("peer_listen").asText(""), words(root.path("peers")));
+            return new PeerAddresses(root.path("peer_listen").asText(""), strings(root.path("peers")));
         } catch (IOException | InvalidPathException e) {
             throw new ConfigException("cannot read the configuration " + file + ": " + e.getMessage());
         }
@@ -96,47 +100,47 @@
         flatten("", settings, text);
         JsonNode known = root.path("known");
         return new Config(
-                told("name", "EDGE_NAME", root, environment),
-                Addresses.parse(told("listen", "EDGE_LISTEN", root, environment)),
-                Addresses.parse(told("discovery", "EDGE_DISCOVERY", root, environment)),
-                control(environment.getOrDefault(
+                required("name", "EDGE_NAME", root, environment),
+                Addresses.parse(required("listen", "EDGE_LISTEN", root, environment)),
+                Addresses.parse(required("discovery", "EDGE_DISCOVERY", root, environment)),
+                adminAddress(environment.getOrDefault(
                         "EDGE_CONTROL", root.path("control").asText(""))),
-                Long.parseUnsignedLong(root.path("seed").asText("0"), HEX),
-                (int) number(root, "/limits/sockets", SOCKETS_UNKNOWN),
-                number(settings, "/limits/connectTimeoutMs", CONNECT_TIMEOUT_MS_UNKNOWN),
-                number(settings, "/limits/connIdleMs", IDLE_MS_UNKNOWN),
+                Long.parseUnsignedLong(root.path("seed").asText("0"), HEX_RADIX),
+                (int) number(root, "/limits/sockets", DEFAULT_SOCKETS),
+                number(settings, "/limits/connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS),
+                number(settings, "/limits/connIdleMs", DEFAULT_CONNECTION_IDLE_MS),
                 number(settings, "/contract/drainGraceMs", Timing.USUAL_GRACE_MS),
-                words(settings.path("failureDomains")),
-                words(settings.path("kinds")),
+                strings(settings.path("failureDomains")),
+                strings(settings.path("kinds")),
                 known.isObject() ? HostUpdate.read(known) : HostUpdate.NOTHING_KNOWN,
                 SettingsText.parse(text.toString()),
-                limits(root.path("limits")));
+                limitsSummary(root.path("limits")));
     }
 
-    /** A number above 0; what is there and is none is never taken for what is not there. */
-    private static double number(JsonNode in, String path, double otherwise) {
+    /** Returns a positive number, or the default where it is absent; a value of another type is an error. */
+    private static double number(JsonNode in, String path, double defaultValue) {
         JsonNode value = in.at(path);
         if (value.isMissingNode()) {
-            return otherwise;
+            return defaultValue;
         }
         if (!value.isNumber() || value.asDouble() <= 0 || value.asDouble() > Integer.MAX_VALUE) {
             throw new IllegalArgumentException(
-                    path.substring(1).replace('/', '.') + " is " + value + ": a number above 0 is allowed");
+                    path.substring(1).replace('/', '.') + " is " + value + ": a positive number is allowed");
         }
         return value.asDouble();
     }
 
-    private static String limits(JsonNode limits) {
+    private static String limitsSummary(JsonNode limits) {
         return limits.path("cores").asDouble(0) + " cores, "
                 + limits.path("memory_mb").asInt(0) + " MB, "
                 + limits.path("sockets").asInt(0) + " descriptors";
     }
 
-    private static InetSocketAddress control(String address) {
+    private static InetSocketAddress adminAddress(String address) {
         return address.isBlank() ? null : Addresses.parse(address);
     }
 
-    private static String told(String key, String variable, JsonNode root, Map<String, String> environment) {
+    private static String required(String key, String variable, JsonNode root, Map<String, String> environment) {
         String value = environment.getOrDefault(variable, root.path(key).asText(""));
         if (value.isBlank()) {
             throw new IllegalArgumentException(key + " is missing");
@@ -144,7 +148,7 @@
         return value;
     }
 
-    /** Writes the settings as the lines of path=value in which the simulator sends them. */
+    /** Writes the settings as the lines {@code path=value} that the simulator sends. */
     private static void flatten(String path, JsonNode value, StringBuilder text) {
         if (value.isObject()) {
             value.properties()
@@ -158,14 +162,14 @@
         } else {
             text.append(path)
                     .append('=')
-                    .append(value.isArray() ? String.join(",", words(value)) : value.asText())
+                    .append(value.isArray() ? String.join(",", strings(value)) : value.asText())
                     .append('\n');
         }
     }
 
-    private static List<String> words(JsonNode list) {
-        List<String> words = new ArrayList<>();
-        list.forEach(word -> words.add(word.asText()));
-        return words;
+    private static List<String> strings(JsonNode list) {
+        List<String> strings = new ArrayList<>();
+        list.forEach(element -> strings.add(element.asText()));
+        return strings;
     }
 }
--- a/src/main/java/ivybank/daemon/ConfigException.java
+++ b/src/main/java/ivybank/daemon/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The configuration is missing or malformed; the message says what, in one line. */
+/** Signals a missing or malformed configuration; the message says in one line what is wrong. */
 final class ConfigException extends IOException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/ivybank/daemon/ConfigFile.java
+++ b/src/main/java/ivybank/daemon/ConfigFile.java
@@ -11,62 +11,67 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The configuration file while the sidecar runs: where discovery is by its present text. The environment says only what
- * held at the start, so that the file's own word counts from the first time on that it changes.
+ * The configuration file of a running sidecar, which is read for the current address of discovery. The environment is
+ * only valid at the start, so the address in the file takes precedence once the file has changed.
  */
 final class ConfigFile {
 
-    private static final long SETTLED_MS = 2000;
+    private static final long SETTLE_TIME_MS = 2000;
 
     private final String path;
     private InetSocketAddress lastRead;
-    /** The file as it was when it was last looked into, or null; and since when it has looked so. */
-    private Looks looks;
+    /** The stamp of the file when it was last checked, or null; and the time since which it is unchanged. */
+    private FileStamp stamp;
 
-    private long looksSinceNanos;
+    private long stampSinceNanos;
 
-    /** What changes with a file's text, unless it is changed twice within one step of the file system's clock. */
-    private record Looks(FileTime changed, long bytes) {}
+    /**
+     * Identifies a version of the file. Two changes within one step of the file system's clock may have the same stamp.
+     */
+    private record FileStamp(FileTime modified, long bytes) {}
 
     ConfigFile(Map<String, String> environment) {
-        path = environment.getOrDefault(Config.FILE, "");
-        lastRead = Config.discoveryIn(path);
+        path = environment.getOrDefault(Config.FILE_VARIABLE, "");
+        lastRead = Config.readDiscovery(path);
     }
 
-    /** Where discovery is by the file, all of which must be in order. */
+    /** Returns the address of discovery in the file; the whole file has to be valid. */
     InetSocketAddress discovery() throws ConfigException {
-        lastRead = Config.load(Map.of(Config.FILE, path)).discovery();
+        lastRead = Config.load(Map.of(Config.FILE_VARIABLE, path)).discovery();
         return lastRead;
     }
 
-    /** Where discovery is now, if the file says so since it was last read; else null, also where it can't be read. */
+    /**
+     * Returns the address of discovery if the file names another one than when it was last read. Returns null
+     * otherwise, also where the file cannot be read.
+     */
     InetSocketAddress changedDiscovery() {
-        Looks now = looks();
+        FileStamp current = readStamp();
         long nowNanos = System.nanoTime();
-        if (now == null || !now.equals(looks)) {
-            looks = now;
-            looksSinceNanos = nowNanos;
-        } else if (nowNanos - looksSinceNanos > TimeUnit.MILLISECONDS.toNanos(SETTLED_MS)) {
-            return null; // it is asked for at each try, and reading all of it costs
+        if (current == null || !current.equals(stamp)) {
+            stamp = current;
+            stampSinceNanos = nowNanos;
+        } else if (nowNanos - stampSinceNanos > TimeUnit.MILLISECONDS.toNanos(SETTLE_TIME_MS)) {
+            return null; // called on each connection attempt, and reading the whole file is expensive
         }
-        return changedText();
+        return readIfChanged();
     }
 
-    private Looks looks() {
+    private FileStamp readStamp() {
         try {
             BasicFileAttributes attributes = Files.readAttributes(Path.of(path), BasicFileAttributes.class);
-            return new Looks(attributes.lastModifiedTime(), attributes.size());
+            return new FileStamp(attributes.lastModifiedTime(), attributes.size());
         } catch (IOException | InvalidPathException e) {
             return null;
         }
     }
 
-    private InetSocketAddress changedText() {
-        InetSocketAddress now = Config.discoveryIn(path);
-        if (now == null || now.equals(lastRead)) {
+    private InetSocketAddress readIfChanged() {
+        InetSocketAddress current = Config.readDiscovery(path);
+        if (current == null || current.equals(lastRead)) {
             return null;
         }
-        lastRead = now;
-        return now;
+        lastRead = current;
+        return current;
     }
 }
--- a/src/main/java/ivybank/daemon/ConfigReload.java
+++ b/src/main/java/ivybank/daemon/ConfigReload.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the configuration again at a signal, and follows discovery to where it is now; nothing else of the file can change while
- * the sidecar runs. A file that can't be read is tried again, ever more rarely, until it can or another signal comes. On the
- * event loop, so that the last signal takes the newest text.
+ * Reloads the configuration on a signal and follows discovery to its current address; nothing else in the file can
+ * change while the sidecar runs. An unreadable file is retried, at first often and then rarely, until it can be read or
+ * another signal arrives. Runs on the event loop, so that the last signal uses the newest content.
  */
 final class ConfigReload implements Chain {
 
@@ -23,34 +23,34 @@
         RETRYING
     }
 
-    private static final long PAUSE_MS = 50;
-    private static final long LONG_PAUSE_MS = 1000;
-    /** After which it is tried only now and then. */
-    private static final double OFTEN_MS = 5000;
-    /** A timer that is later counts as lost. */
-    private static final double LATE_MS = 200;
+    private static final long RETRY_DELAY_MS = 50;
+    private static final long SLOW_RETRY_DELAY_MS = 1000;
+    /** The time after a signal from which on retries are slow. */
+    private static final double FAST_RETRY_PERIOD_MS = 5000;
+    /** The delay after which a retry timer counts as lost. */
+    private static final double LOST_TIMER_MS = 200;
 
     private final EventLoop loop;
     private final ConfigFile file;
-    private final Consumer<InetSocketAddress> discovery;
+    private final Consumer<InetSocketAddress> discoveryListener;
     private final Clock clock;
     private final Log log;
     private State state = State.IDLE;
     private double dueMs = NEVER;
-    private double toldMs;
-    private boolean toldRare;
-    /** Signals so far. */
+    private double lastSignalMs;
+    private boolean slowRetryLogged;
+    /** The number of signals received so far. */
     private int signals;
 
-    ConfigReload(EventLoop loop, ConfigFile file, Consumer<InetSocketAddress> discovery, Clock clock, Log log) {
+    ConfigReload(EventLoop loop, ConfigFile file, Consumer<InetSocketAddress> discoveryListener, Clock clock, Log log) {
         this.loop = loop;
         this.file = file;
-        this.discovery = discovery;
+        this.discoveryListener = discoveryListener;
         this.clock = clock;
         this.log = log;
     }
 
-    /** A signal has come. On any thread. */
+    /** Handles a signal. Can be called on any thread. */
     void signalled() {
         double nowMs = clock.nowMs();
         EventLoopTasks.execute(loop, () -> begin(nowMs));
@@ -58,14 +58,14 @@
 
     private void begin(double signalledMs) {
         signals++;
-        toldMs = signalledMs;
-        toldRare = false;
+        lastSignalMs = signalledMs;
+        slowRetryLogged = false;
         read(signals);
     }
 
     @Override
     public String name() {
-        return "reading the configuration again";
+        return "reload of the configuration";
     }
 
     @Override
@@ -85,31 +85,31 @@
 
     private void read(int number) {
         if (number < signals || loop.isShuttingDown()) {
-            return; // a later signal reads the file by itself
+            return; // a later signal reads the file itself
         }
-        double sinceMs = clock.nowMs() - toldMs;
+        double sinceMs = clock.nowMs() - lastSignalMs;
         try {
             InetSocketAddress next = file.discovery();
-            log.line("told to read the configuration again (signal " + number + ", read after " + Math.round(sinceMs)
+            log.line("reloading the configuration (signal " + number + ", read after " + Math.round(sinceMs)
                     + " ms): discovery is at " + NetUtil.toSocketAddressString(next));
-            discovery.accept(next);
+            discoveryListener.accept(next);
             state = State.IDLE;
         } catch (ConfigException | RuntimeException e) {
             retry(number, sinceMs, e);
         }
     }
 
-    /** It may be half replaced. */
-    private void retry(int number, double sinceMs, Exception why) {
-        boolean rare = sinceMs > OFTEN_MS;
-        if (sinceMs < PAUSE_MS || rare && !toldRare) {
-            log.line("signal " + number + ": going on as before" + (rare ? "" : ", and trying for a while") + ": "
-                    + why.getMessage());
-            toldRare = rare;
+    /** Schedules another read: the file may be partly replaced. */
+    private void retry(int number, double sinceMs, Exception cause) {
+        boolean slow = sinceMs > FAST_RETRY_PERIOD_MS;
+        if (sinceMs < RETRY_DELAY_MS || slow && !slowRetryLogged) {
+            log.line("signal " + number + ": keeping the current configuration" + (slow ? "" : ", retrying") + ": "
+                    + cause.getMessage());
+            slowRetryLogged = slow;
         }
-        long pauseMs = rare ? LONG_PAUSE_MS : PAUSE_MS;
+        long delayMs = slow ? SLOW_RETRY_DELAY_MS : RETRY_DELAY_MS;
         state = State.RETRYING;
-        dueMs = clock.nowMs() + pauseMs + LATE_MS;
-        loop.schedule(() -> read(number), pauseMs, TimeUnit.MILLISECONDS);
+        dueMs = clock.nowMs() + delayMs + LOST_TIMER_MS;
+        loop.schedule(() -> read(number), delayMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/ivybank/daemon/DescriptorShares.java
+++ b/src/main/java/ivybank/daemon/DescriptorShares.java
@@ -3,37 +3,46 @@
 import ivybank.client.ClientServer;
 
 /**
- * How the descriptors that a process may have are shared out.
+ * The shares of the process's file descriptors.
  *
- * @param all those that connections may have, of both sides together
- * @param upstreams up to how many connections to upstreams may have
- * @param clients up to how many the client's connections are accepted, are served, and may wait for requests
+ * @param total the descriptors for the connections of both sides together
+ * @param upstreams the maximum for connections to upstreams
+ * @param clients the limits on client connections: accepted, served, and waiting for requests
  */
-record DescriptorShares(int all, int upstreams, ClientServer.Limits clients) {
+record DescriptorShares(int total, int upstreams, ClientServer.Limits clients) {
 
-    /** For the listener, discovery, files and the selector. */
+    /** Descriptors for the listener, discovery, files and the selector. */
     private static final int RESERVED = 24;
-    /** Of the other descriptors, together more than all: what one side leaves the other may use. */
-    private static final double UPSTREAM_PART = 0.5;
+    /**
+     * The fractions of the remaining descriptors. They add up to more than 1: one side can use what the other leaves.
+     */
+    private static final double UPSTREAM_FRACTION = 0.5;
 
-    private static final double CLIENT_PART = 0.7;
-    /** Of all descriptors: the client may have a third for requests, and must not run out of them. */
-    private static final double COMFORTABLE_PART = 0.31;
+    private static final double CLIENT_FRACTION = 0.7;
+    /**
+     * The fraction of all descriptors up to which no client connection is closed early. The client may use a third for
+     * requests and must not run out of connections.
+     */
+    private static final double UNEVICTED_FRACTION = 0.31;
 
-    private static final int FOR_REQUESTS = 3;
-    /** Of the client's: connections that are only told to come back. */
-    private static final double REFUSED_PART = 0.06;
+    private static final int REQUEST_DIVISOR = 3;
+    /** The fraction of the accepted client connections that are only told to retry. */
+    private static final double REFUSED_FRACTION = 0.06;
 
-    /** @param descriptors that the process may have at most */
+    /**
+     * Returns the shares of a process.
+     *
+     * @param descriptors the maximum number of descriptors of the process
+     */
     static DescriptorShares of(int descriptors) {
-        int all = Math.max(2, descriptors - RESERVED);
-        int accepted = Math.max(1, (int) (all * CLIENT_PART));
-        int served = accepted - Math.max(1, (int) (accepted * REFUSED_PART));
-        int comfortable = Math.min(served, (int) (descriptors * COMFORTABLE_PART));
-        int forRequests = Math.max(2, descriptors / FOR_REQUESTS);
+        int total = Math.max(2, descriptors - RESERVED);
+        int accepted = Math.max(1, (int) (total * CLIENT_FRACTION));
+        int served = accepted - Math.max(1, (int) (accepted * REFUSED_FRACTION));
+        int unevicted = Math.min(served, (int) (descriptors * UNEVICTED_FRACTION));
+        int forRequests = Math.max(2, descriptors / REQUEST_DIVISOR);
         return new DescriptorShares(
-                all,
-                Math.max(1, (int) (all * UPSTREAM_PART)),
-                new ClientServer.Limits(comfortable, served, accepted, forRequests));
+                total,
+                Math.max(1, (int) (total * UPSTREAM_FRACTION)),
+                new ClientServer.Limits(unevicted, served, accepted, forRequests));
     }
 }
--- a/src/main/java/ivybank/daemon/DrainSequence.java
+++ b/src/main/java/ivybank/daemon/DrainSequence.java
@@ -8,24 +8,24 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The steps by which a process ends, each at its time after the signal. A step that throws is tried again at the next look, and
- * keeps none behind it from its time. Looked at again and again on the event loop; times are in milliseconds of its clock.
+ * The steps by which a process shuts down, each at its time after the signal. A step that throws is retried at the next
+ * poll, and delays no later step. Polled on the event loop; times are in milliseconds of its clock.
  */
 final class DrainSequence {
 
-    /** What it is doing. */
+    /** The phase of the shutdown. */
     private enum State {
         NOT_BEGUN,
-        /** Goes on serving what still comes. */
+        /** Keeps serving new requests. */
         SERVING,
-        /** Ends connections and waits for the last answer. */
+        /** Closes connections and waits for the last answer. */
         FINISHING,
-        DONE
+        COMPLETE
     }
 
-    private static final int MOST_TRIES = 20;
+    private static final int MAX_TRIES = 20;
 
-    /** One step. */
+    /** A step with its due time. */
     private static final class Step {
         final String name;
         final double atMs;
@@ -44,49 +44,49 @@
     private final Log log;
     private final List<Step> steps = new ArrayList<>();
     private State state = State.NOT_BEGUN;
-    private double finishFromMs = Double.POSITIVE_INFINITY;
-    private BooleanSupplier finished = () -> false;
+    private double completeFromMs = Double.POSITIVE_INFINITY;
+    private BooleanSupplier completion = () -> false;
 
     DrainSequence(Clock clock, Log log) {
         this.clock = clock;
         this.log = log;
     }
 
-    /** Begins; whether it had not begun before. */
+    /** Begins the shutdown; returns whether it had not begun before. */
     boolean begin() {
         boolean first = state == State.NOT_BEGUN;
         state = first ? State.SERVING : state;
         return first;
     }
 
-    /** Adds a step that is due so long from now. */
-    void after(long delayMs, String name, Runnable action) {
+    /** Adds a step that is due after a delay from now. */
+    void addStep(long delayMs, String name, Runnable action) {
         steps.add(new Step(name, clock.nowMs() + delayMs, action));
     }
 
     /**
-     * From so long from now on asks at each look whether all is over.
+     * Checks from a delay on, at each poll, whether the shutdown is complete.
      *
-     * @param over whether nothing is in hand any more
+     * @param isComplete returns whether no request is in progress any more
      */
-    void finishAfter(long delayMs, BooleanSupplier over) {
-        finishFromMs = clock.nowMs() + delayMs;
-        finished = over;
+    void completeAfter(long delayMs, BooleanSupplier isComplete) {
+        completeFromMs = clock.nowMs() + delayMs;
+        completion = isComplete;
     }
 
-    /** Runs what is due; whether all is over, the first time that it is. */
-    boolean look() {
-        if (state == State.NOT_BEGUN || state == State.DONE) {
+    /** Runs the steps that are due; returns true the first time that the shutdown is complete. */
+    boolean poll() {
+        if (state == State.NOT_BEGUN || state == State.COMPLETE) {
             return false;
         }
         double nowMs = clock.nowMs();
         steps.stream().filter(step -> !step.done && nowMs >= step.atMs).forEach(this::run);
-        if (nowMs < finishFromMs) {
+        if (nowMs < completeFromMs) {
             return false;
         }
         state = State.FINISHING;
-        if (finished.getAsBoolean()) {
-            state = State.DONE;
+        if (completion.getAsBoolean()) {
+            state = State.COMPLETE;
             return true;
         }
         return false;
@@ -98,8 +98,8 @@
             step.done = true;
         } catch (RuntimeException | Error e) {
             step.tries++;
-            step.done = step.tries >= MOST_TRIES;
-            log.line("ending: " + step.name + " failed, " + (step.done ? "left" : "tried again") + ": " + e);
+            step.done = step.tries >= MAX_TRIES;
+            log.line("drain: " + step.name + " failed, " + (step.done ? "giving up" : "retrying") + ": " + e);
         }
     }
 
--- a/src/main/java/ivybank/daemon/DrainTimes.java
+++ b/src/main/java/ivybank/daemon/DrainTimes.java
@@ -4,27 +4,31 @@
 import ivybank.policy.Balancer.Settings;
 
 /**
- * When, after the signal to end, the listener closes, when the connections of the client do, and when what is still
- * open then is failed.
+ * The delays after the shutdown signal at which the listener closes, at which client connections close, and at which
+ * requests that are still open are failed.
  */
-record DrainTimes(long stopListeningMs, long stopServingMs, long failRestMs) {
+record DrainTimes(long stopListeningMs, long stopServingMs, long failOpenMs) {
 
-    /** After the signal new connections still come for up to 0.4 s. */
+    /** New connections still arrive for up to 0.4 s after the signal. */
     private static final long STOP_LISTENING_MS = 600;
 
-    private static final long LEAST_LISTENING_MS = 450;
-    /** The process is left the longest deadline, or so much if that is less, and a while more to end in. */
-    private static final double LONGEST_TIME_TO_END_MS = 3000;
+    private static final long MIN_LISTENING_MS = 450;
+    /** The process may run for the longest deadline, capped at this value, plus {@link #EXTRA_SHUTDOWN_MS}. */
+    private static final double MAX_DEADLINE_MS = 3000;
 
-    private static final double MORE_TIME_TO_END_MS = 700;
-    private static final double END_MARGIN_MS = 200;
-    /** Of the longest time in which an answer is of use: what is taken last is left this much, and most take less. */
-    private static final double LAST_PART = 0.3;
+    private static final double EXTRA_SHUTDOWN_MS = 700;
+    private static final double SHUTDOWN_MARGIN_MS = 200;
+    /**
+     * The fraction of the longest useful answer time that is left to the request that is accepted last; most requests
+     * take less.
+     */
+    private static final double LAST_REQUEST_FRACTION = 0.3;
 
     /**
-     * Serves for about as long as the process is left. Guards against a gap that nobody needed: the next process
-     * comes when this one's time is up, however early it has ended. What is taken last may be failed in the end, and
-     * would have found nobody otherwise; it does harm where a process is killed sooner than it was promised.
+     * Returns the times of a process that serves for about as long as it may run. Guards against an avoidable gap: the
+     * next process starts when the time of this one is up, however early this one ends. A request that is accepted last
+     * may be failed in the end, but without this process nobody would have accepted it. These times do harm where a
+     * process is killed before the time that it was promised.
      */
     static DrainTimes longest(Settings settings) {
         double deadlineMs = settings.classes().stream()
@@ -35,11 +39,12 @@
                 .mapToDouble(spec -> spec.lateWorth() > 0 ? spec.deadlineMs() : spec.aimMs())
                 .max()
                 .orElse(0);
-        double allMs = Math.min(LONGEST_TIME_TO_END_MS, deadlineMs) + MORE_TIME_TO_END_MS - END_MARGIN_MS;
-        // Where deadlines are short the listener closes sooner, so that what it took last can still be answered.
-        long stopListeningMs =
-                Math.max(LEAST_LISTENING_MS, Math.min(STOP_LISTENING_MS, (long) (allMs - LAST_PART * answerMs)));
+        double totalMs = Math.min(MAX_DEADLINE_MS, deadlineMs) + EXTRA_SHUTDOWN_MS - SHUTDOWN_MARGIN_MS;
+        // With short deadlines the listener closes earlier, so that the last accepted requests can still be answered.
+        long stopListeningMs = Math.max(
+                MIN_LISTENING_MS, Math.min(STOP_LISTENING_MS, (long) (totalMs - LAST_REQUEST_FRACTION * answerMs)));
         return new DrainTimes(
-                stopListeningMs, Math.max(stopListeningMs, (long) (allMs - LAST_PART * answerMs)), (long) allMs);
+                stopListeningMs, Math.max(stopListeningMs, (long) (totalMs - LAST_REQUEST_FRACTION * answerMs)), (long)
+                        totalMs);
     }
 }
--- a/src/main/java/ivybank/daemon/Exchange.java
+++ b/src/main/java/ivybank/daemon/Exchange.java
@@ -11,27 +11,33 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.function.Consumer;
 
-/** A request in hand, until it is answered and each of its attempts has ended. Times are in milliseconds of the clock. */
+/**
+ * A request in progress, until it is answered and each of its attempts has ended. Times are in milliseconds of the
+ * clock.
+ */
 final class Exchange {
 
-    /** The deadline of a request whose last byte is still to come. */
+    /** The deadline of a request whose last byte has not arrived yet. */
     static final double NO_DEADLINE_YET = Double.MAX_VALUE;
 
     final int id;
     final ClientRequest request;
-    /** Far off while its last byte is still to come. */
+    /** The deadline, or {@link #NO_DEADLINE_YET} while the last byte has not arrived. */
     double deadlineMs;
 
-    /** When it may have come at the earliest: it may have stood in its socket while the event loop stalled. */
+    /**
+     * The earliest time at which the request may have arrived: it may have been buffered in its socket during an event
+     * loop stall.
+     */
     final double earliestArrivalMs;
 
     final Consumer<Answer> client;
     final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     ScheduledFuture<?> backstop;
-    int out;
-    boolean over;
-    /** The attempt whose long answer is being passed on, or -1. */
-    int passingOn = -1;
+    int inFlight;
+    boolean closed;
+    /** The number of the attempt whose streamed answer is being forwarded, or -1. */
+    int streamingAttempt = -1;
 
     Exchange(int id, ClientRequest request, double deadlineMs, double earliestArrivalMs, Consumer<Answer> client) {
         this.earliestArrivalMs = earliestArrivalMs;
@@ -41,67 +47,73 @@
         this.client = client;
     }
 
-    /** Whether its last byte is still to come. */
+    /** Returns whether the last byte of the request has not arrived yet. */
     boolean isArriving() {
         return deadlineMs == NO_DEADLINE_YET;
     }
 
-    /** Whether what an earlier attempt has sent of a long request is gone, so that it can't be sent again. */
-    boolean isBodySpent() {
+    /**
+     * Returns whether the part of a long request that an earlier attempt sent is gone, so that the request cannot be
+     * sent again.
+     */
+    boolean isBodyConsumed() {
         return request.rest() != null && request.rest().taken();
     }
 
-    /** Since when an attempt that began at {@code begunMs} counts: a node begins with the request's last byte. */
-    double sentMs(double begunMs, double nowMs) {
+    /**
+     * Returns the time from which an attempt that began at {@code startedMs} counts: a node begins with the request's
+     * last byte.
+     */
+    double sentMs(double startedMs, double nowMs) {
         if (request.rest() == null) {
-            return begunMs;
+            return startedMs;
         }
         double arrivedMs = isArriving() ? nowMs : deadlineMs - request.budgetMs();
-        return Math.max(begunMs, arrivedMs);
+        return Math.max(startedMs, arrivedMs);
     }
 
-    /** What its client has left at most; all of its time while its last byte is still to come. */
-    double clientLeftMs(double nowMs) {
+    /** Returns the maximum time that the client has left; its whole budget while the last byte has not arrived. */
+    double maxClientLeftMs(double nowMs) {
         return isArriving() ? request.budgetMs() : deadlineMs - nowMs;
     }
 
-    /** What its client has left at least: a request may have come before it was read. */
-    double leastLeftMs(double nowMs) {
+    /** Returns the minimum time that the client has left: a request may have arrived before it was read. */
+    double minClientLeftMs(double nowMs) {
         double byArrivalMs = request.rest() == null ? earliestArrivalMs + request.budgetMs() - nowMs : Double.MAX_VALUE;
-        return Math.min(byArrivalMs, clientLeftMs(nowMs));
+        return Math.min(byArrivalMs, maxClientLeftMs(nowMs));
     }
 
-    void stopBackstop() {
+    void cancelBackstop() {
         if (backstop != null) {
             backstop.cancel(false);
         }
     }
 
-    /** Whether it is neither answered nor being answered. */
+    /** Returns whether the request is neither answered nor being answered. */
     boolean isUnanswered() {
-        return !over && passingOn < 0;
+        return !closed && streamingAttempt < 0;
     }
 
     /**
-     * Ends the attempts of a request that is over whose last byte has not left, so that nothing is sent on for which nobody
-     * waits, also where the settings allow no calling off.
+     * Ends the attempts of a closed request whose last byte has not been sent, so that nothing more is sent that nobody
+     * waits for, even where the settings do not allow cancellation.
      */
-    void leaveUnsent() {
+    void abandonUnsent() {
         for (int number = 0; number < attempts.size(); number++) {
-            if (number != passingOn) {
+            if (number != streamingAttempt) {
                 attempts.get(number).leaveUnsent();
             }
         }
     }
 
-    /** Notes on the request's record, if it has one, how an attempt that went out has ended. */
+    /** Stores in the request's record, if it has one, how an attempt that was sent has ended. */
     void recordEnd(int number, Ending ending) {
         SendRecord record = request.record();
         if (record == null || !attempts.get(number).wentOut()) {
             return;
         }
         record.ended(ending.outcome().provesNotRun());
-        if (ending.outcome() == Outcome.OK && over) {
+        if (ending.outcome() == Outcome.OK && closed) {
             record.servedLate(Answer.served(ending.contentType(), ending.body()));
         }
     }
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -25,19 +25,22 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Leaves word of what this process knows for the others of its sidecar, and passes on what they left: all of it to a process
- * that begins, and what they have in hand while they are here. Files are read and written on a thread of its own.
+ * Shares the learned state of this process with the other processes of its sidecar through files: a starting process
+ * takes over all of it, and running processes exchange their load. Files are read and written on a separate thread.
  */
 final class Handover {
 
-    /** How often word is left while another process reads it, and while none does. */
-    private static final long TOGETHER_MS = 50;
+    /**
+     * The write interval while another process reads the files, and how many such intervals pass between writes while
+     * none does.
+     */
+    private static final long WRITE_INTERVAL_MS = 50;
 
-    private static final int ALONE_TIMES = 20;
-    /** The event loop is asked for what it knows, and may be held up: the next round asks again. */
-    private static final long LONGEST_ANSWER_MS = 1000;
-    /** What another process holds beside its connections, and may have opened since it was heard of. */
-    private static final int HELD_BESIDE = 40;
+    private static final int INTERVALS_PER_WRITE_ALONE = 20;
+    /** The event loop may be stalled when it is asked for its state: the next round asks again. */
+    private static final long EVENT_LOOP_TIMEOUT_MS = 1000;
+    /** Descriptors that another process holds besides its connections, or may have opened since its last file. */
+    private static final int EXTRA_DESCRIPTORS = 40;
 
     private final EventLoop loop;
     private final RequestDispatcher dispatcher;
@@ -47,11 +50,11 @@
     private final Log log;
     private final MemoryFiles files;
     private final ScheduledExecutorService thread;
-    private volatile boolean company;
-    // Used by the thread alone.
+    private volatile boolean siblingPresent;
+    // Used on the worker thread only.
     private int rounds;
-    private boolean toldElsewhere;
-    private String failure;
+    private boolean loadReported;
+    private String lastFailure;
 
     Handover(
             Path folder,
@@ -69,16 +72,16 @@
         this.log = log;
         files = new MemoryFiles(folder, ProcessHandle.current().pid(), log::line);
         thread = Executors.newSingleThreadScheduledExecutor(task -> {
-            Thread its = new Thread(task, "handover");
-            its.setDaemon(true);
-            return its;
+            Thread worker = new Thread(task, "handover");
+            worker.setDaemon(true);
+            return worker;
         });
     }
 
-    /** Takes over what the process before this one has left, if there is any; before this one serves. */
+    /** Takes over the state that the previous process has left, if any; called before this process serves. */
     void takeOver() {
         double nowMs = clock.machineMs();
-        Optional<Memory> newest = others().stream().max(Comparator.comparingDouble(Memory::writtenMs));
+        Optional<Memory> newest = readOthers().stream().max(Comparator.comparingDouble(Memory::writtenMs));
         newest.ifPresent(memory -> {
             log.line("taking over what another process has learned of "
                     + memory.learned().nodes().size() + " nodes, " + Math.round(nowMs - memory.writtenMs())
@@ -87,72 +90,73 @@
         });
     }
 
+    /** Starts the exchange of files; the first file is written before this returns. */
     Chain start() {
-        round(); // before the first connection is accepted
-        return PeriodicTask.start("handover", thread, clock, log, TOGETHER_MS, this::round);
+        round(); // a file exists before the first connection is accepted
+        return PeriodicTask.start("handover", thread, clock, log, WRITE_INTERVAL_MS, this::round);
     }
 
-    /** Tells whether another process of this sidecar is here. */
-    void company(boolean another) {
-        company = another;
+    /** Sets whether another process of this sidecar is running. */
+    void siblingPresent(boolean present) {
+        siblingPresent = present;
     }
 
     private void round() {
-        if (company || toldElsewhere) {
-            tellElsewhere();
+        if (siblingPresent || loadReported) {
+            reportSiblingLoad();
         }
-        if (company || rounds++ % ALONE_TIMES == 0) {
-            leave();
+        if (siblingPresent || rounds++ % INTERVALS_PER_WRITE_ALONE == 0) {
+            writeMemory();
         }
     }
 
-    private List<Memory> others() {
+    private List<Memory> readOthers() {
         try {
             return files.others(clock.machineMs());
         } catch (IOException e) {
-            fails("what other processes have left can't be read: " + e);
+            logFailure("the files of other processes cannot be read: " + e);
             return List.of();
         }
     }
 
-    private void tellElsewhere() {
+    private void reportSiblingLoad() {
         double nowMs = clock.machineMs();
-        Map<String, Integer> out = new HashMap<>();
+        Map<String, Integer> inFlight = new HashMap<>();
         int inHand = 0;
-        int held = company ? HELD_BESIDE : 0;
-        for (Memory memory : company ? others() : List.<Memory>of()) {
+        int held = siblingPresent ? EXTRA_DESCRIPTORS : 0;
+        for (Memory memory : siblingPresent ? readOthers() : List.<Memory>of()) {
             if (memory.isFresh(nowMs)) {
                 inHand += memory.inHand();
                 held += memory.descriptors();
-                memory.learned().nodes().forEach((host, node) -> out.merge(host, node.out(), Integer::sum));
+                memory.learned().nodes().forEach((host, node) -> inFlight.merge(host, node.out(), Integer::sum));
             }
         }
         int requests = inHand;
         int heldElsewhere = held;
-        toldElsewhere = company;
+        loadReported = siblingPresent;
         EventLoopTasks.execute(loop, () -> {
-            dispatcher.elsewhere(out, requests);
+            dispatcher.siblingLoad(inFlight, requests);
             server.elsewhere(requests);
             descriptors.elsewhere(heldElsewhere);
         });
     }
 
-    private void leave() {
+    private void writeMemory() {
         try {
             files.write(CompletableFuture.supplyAsync(() -> dispatcher.memory(descriptors.used()), loop)
-                    .get(LONGEST_ANSWER_MS, TimeUnit.MILLISECONDS));
-            failure = null;
+                    .get(EVENT_LOOP_TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            lastFailure = null;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | ExecutionException | TimeoutException | RuntimeException e) {
-            fails("what this process has learned is not on file: " + e);
+            logFailure("the state of this process could not be written: " + e);
         }
     }
 
-    private void fails(String how) {
-        if (!how.equals(failure)) {
-            log.line("handover: " + how);
+    private void logFailure(String message) {
+        if (!message.equals(lastFailure)) {
+            log.line("handover: " + message);
         }
-        failure = how;
+        lastFailure = message;
     }
 }
--- a/src/main/java/ivybank/daemon/HangupSignal.java
+++ b/src/main/java/ivybank/daemon/HangupSignal.java
@@ -3,8 +3,8 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Acts on SIGHUP, which otherwise ends the process. The JDK offers no supported way to a signal, and its internal one
- * can't be named in code that compiles without warnings: so it is looked up.
+ * Handles SIGHUP, which otherwise ends the process. The JDK has no supported signal API, and its internal one cannot be
+ * referenced by code that compiles without warnings, so it is called by reflection.
  */
 final class HangupSignal {
 
@@ -14,28 +14,28 @@
     private HangupSignal() {}
 
     /**
-     * From now on notes each SIGHUP, and runs {@code action} at it once there is one, on a thread of its own. To be called first
-     * thing: a signal that comes before ends the process. Returns false where no SIGHUP will come: the process was started with
-     * the signal ignored, as by nohup, and Java leaves it so.
+     * Starts to listen for SIGHUP. A signal that arrives before {@link #handle} is kept until then; the action runs on
+     * a separate thread. Has to be called first in the process: an earlier signal ends it. Returns false where no
+     * SIGHUP will arrive: the process was started with the signal ignored, as by nohup, and Java keeps that.
      */
     static boolean listen() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object acting = Proxy.newProxyInstance(
+            Object signalHandler = Proxy.newProxyInstance(
                     handler.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
-                        came();
+                        signalled();
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), acting);
-            return before != handler.getField("SIG_IGN").get(null);
+            Object previousHandler = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), signalHandler);
+            return previousHandler != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this Java runtime lets nobody handle SIGHUP", e);
+            throw new IllegalStateException("this Java runtime has no way to handle SIGHUP", e);
         }
     }
 
-    private static synchronized void came() {
+    private static synchronized void signalled() {
         if (action == null) {
             pending = true;
         } else {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Runs this at each SIGHUP from now on, and now if one has come. */
+    /** Sets the action that runs on each SIGHUP, and runs it now if a signal has arrived already. */
     static synchronized void handle(Runnable atSignal) {
         action = atSignal;
         if (pending) {
--- a/src/main/java/ivybank/daemon/InheritedListener.java
+++ b/src/main/java/ivybank/daemon/InheritedListener.java
@@ -5,17 +5,20 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.Map;
 
-/** The clients' listening socket where the platform keeps it, so that no connection is refused between two processes. */
+/**
+ * The listening socket for clients that the platform keeps open, so that no connection is refused between two
+ * processes.
+ */
 final class InheritedListener {
 
-    /** Names the descriptor, which Java can take over only where it is that of standard input. */
+    /** The environment variable with the descriptor, which Java can only take over as standard input. */
     static final String VARIABLE = "EDGE_INHERITED_FD";
 
     private InheritedListener() {}
 
     /**
-     * The socket, or null where none is handed over. It must not be closed while the log is needed: with it Java closes
-     * the standard streams.
+     * Returns the socket, or null where none is passed on. It must not be closed while the log is needed: Java closes
+     * the standard streams with it.
      */
     static ServerSocketChannel listener(Map<String, String> environment) throws IOException {
         String descriptor = environment.getOrDefault(VARIABLE, "");
--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Hands the module what another process of this sidecar has learned, node by node as the list names them. */
+/**
+ * Passes the state that another process of this sidecar has learned to the decision module, node by node as the list
+ * names them.
+ */
 final class InheritedState {
 
     private final Directory directory;
@@ -19,7 +22,7 @@
     private final ModuleEvents events;
     private final Clock clock;
     private final Set<Integer> recalled = new HashSet<>();
-    /** Until discovery has told its whole list; null for none. */
+    /** The inherited state until discovery has sent its first full list, then null; null where there is none. */
     private Learned<String> learned;
 
     private double trust;
@@ -31,7 +34,11 @@
         this.clock = clock;
     }
 
-    /** Takes over what another process has learned; {@code trust}: how far it is believed, from 0 to 1. */
+    /**
+     * Takes over the state that another process has learned.
+     *
+     * @param trust the confidence in that state, from 0 to 1
+     */
     void take(Learned<String> other, double trust) {
         recalled.clear();
         learned = other;
@@ -39,7 +46,9 @@
         recall();
     }
 
-    /** The list has changed: nodes that it names now are recalled, and after a whole list nothing more is to come. */
+    /**
+     * Handles a change of the list: recalls the nodes that it names now. After a full list nothing more is recalled.
+     */
     void listed(ListKind kind) {
         if (learned != null) {
             recall();
@@ -52,13 +61,13 @@
         learned.nodes()
                 .forEach((host, node) -> changed.addAll(directory.recallStart(host, node.startedMs(), clock.nowMs())));
         if (!changed.isEmpty()) {
-            events.tell(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
+            events.deliver(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
         }
         Learned<String> rest = recalled.isEmpty() ? learned : learned.ofNodes();
         Learned<Integer> here = rest.withStarts(directory::startHereMs).named(host -> {
             Integer number = directory.number(host);
             return number != null && recalled.add(number) ? number : null;
         });
-        events.tell(() -> balancer.recall(here, trust));
+        events.deliver(() -> balancer.recall(here, trust));
     }
 }
--- a/src/main/java/ivybank/daemon/KeptPromises.java
+++ b/src/main/java/ivybank/daemon/KeptPromises.java
@@ -12,16 +12,22 @@
 import java.util.UUID;
 import java.util.concurrent.ScheduledExecutorService;
 
-/** Opens what promises are kept in. A class of its own, so that a sidecar without it loads nothing of the store. */
+/**
+ * Opens the store that promises are kept in. A class of its own, so that a sidecar without promises loads no class of
+ * the store.
+ */
 final class KeptPromises {
 
     private KeptPromises() {}
 
-    /** Whether a store is as it is, whatever the disk does next. */
-    static boolean isLasting(Throwable failure) {
+    /**
+     * Returns whether a failure to open a store is permanent: caused by the store itself, whatever the disk does next.
+     */
+    static boolean isPermanent(Throwable failure) {
         return failure instanceof StoreException;
     }
 
+    /** Opens the store and the promises in it. */
     static PromiseKeeper open(
             StoreSettings store, String name, Settings settings, ScheduledExecutorService loop, Clock clock, Log log)
             throws IOException {
@@ -33,7 +39,7 @@
                     store.firstStart(),
                     () -> UUID.randomUUID().toString(),
                     line -> log.line("store " + store.folder() + ": " + line));
-            log.line("store " + store.folder() + ": id " + identity.id() + ", taken up for the " + identity.life()
+            log.line("store " + store.folder() + ": id " + identity.id() + ", opened for the " + identity.life()
                     + ". time");
         } catch (IOException | RuntimeException e) {
             disk.close();
--- a/src/main/java/ivybank/daemon/ModuleEvents.java
+++ b/src/main/java/ivybank/daemon/ModuleEvents.java
@@ -5,32 +5,32 @@
 import java.util.Queue;
 
 /**
- * Tells the decision module of events, one after another: what its own actions cause at once is told after the event at hand,
- * never inside it. On one event loop; nothing is locked.
+ * Delivers events to the decision module one after another: events that its own actions cause are delivered after the
+ * current event, never within it. Used on one event loop, without locks.
  */
 final class ModuleEvents {
 
     private final Log log;
     private final Queue<Runnable> events = new ArrayDeque<>();
-    private boolean telling;
+    private boolean delivering;
 
     ModuleEvents(Log log) {
         this.log = log;
     }
 
-    /** Tells the module of an event, after those that are waiting. One that it fails on is logged and left behind. */
-    void tell(Runnable event) {
+    /** Delivers an event after those that are queued. An event on which the module fails is logged and dropped. */
+    void deliver(Runnable event) {
         events.add(event);
-        if (telling) {
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         try {
             for (Runnable next = events.poll(); next != null; next = events.poll()) {
                 run(next);
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 
--- a/src/main/java/ivybank/daemon/Peers.java
+++ b/src/main/java/ivybank/daemon/Peers.java
@@ -14,14 +14,22 @@
 import java.util.Map;
 import java.util.function.IntConsumer;
 
-/** Puts a sidecar among the others. A class of its own, so that a sidecar without peers loads nothing of it. */
+/**
+ * Creates the connection of a sidecar to its peers. A class of its own, so that a sidecar without peers loads no class
+ * of it.
+ */
 final class Peers {
 
-    private static final int MOST_SEATS = 16_384;
+    private static final int MAX_MEMBERS = 16_384;
 
     private Peers() {}
 
-    /** Reads where they are from the operator file, or else from the configuration; does not listen yet. */
+    /**
+     * Creates the fleet of peers with the addresses from the operator file, or else from the configuration; it does not
+     * listen yet.
+     *
+     * @param sidecars receives the number of sidecars in the fleet
+     */
     static PeerFleet of(
             PeerSettings settings,
             Config config,
@@ -31,17 +39,17 @@
             Log log,
             IntConsumer sidecars)
             throws IOException {
-        Config.PeerAddresses told = Config.peersIn(environment.get(Config.FILE));
-        String listen = settings.listen().isEmpty() ? told.listen() : settings.listen();
-        List<String> all = settings.addresses().isEmpty() ? told.all() : settings.addresses();
-        if (listen.isEmpty() || all.isEmpty() || all.size() > MOST_SEATS) {
-            throw new ConfigException("[peers] needs listen and 1 to " + MOST_SEATS
+        Config.PeerAddresses configured = Config.readPeerAddresses(environment.get(Config.FILE_VARIABLE));
+        String listen = settings.listen().isEmpty() ? configured.listen() : settings.listen();
+        List<String> addressTexts = settings.addresses().isEmpty() ? configured.all() : settings.addresses();
+        if (listen.isEmpty() || addressTexts.isEmpty() || addressTexts.size() > MAX_MEMBERS) {
+            throw new ConfigException("[peers] needs listen and 1 to " + MAX_MEMBERS
                     + " addresses, here or as peer_listen and peers in the" + " configuration: there are "
-                    + all.size());
+                    + addressTexts.size());
         }
         List<InetSocketAddress> addresses = new ArrayList<>();
         try {
-            for (String each : all) {
+            for (String each : addressTexts) {
                 addresses.add(Addresses.parse(each));
             }
             if (new HashSet<>(addresses).size() < addresses.size()) {
--- a/src/main/java/ivybank/daemon/RequestCounters.java
+++ b/src/main/java/ivybank/daemon/RequestCounters.java
@@ -4,7 +4,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts of requests and attempts since the last report. */
+/** Counts requests and attempts since the last report. */
 final class RequestCounters {
     private final Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
     int taken;
@@ -12,19 +12,20 @@
     int refused;
     int failed;
     int expired;
-    int left;
+    int abandoned;
 
-    void ended(Outcome outcome) {
+    /** Counts the outcome of an attempt. */
+    void attemptEnded(Outcome outcome) {
         outcomes.merge(outcome, 1, Integer::sum);
     }
 
-    /** A line of all counts, which then begin anew; null where nothing has happened. */
+    /** Returns a line with all counts and resets them, or null where nothing has happened. */
     String report() {
         if (taken == 0 && outcomes.isEmpty()) {
             return null;
         }
         String line = "requests: " + taken + " taken, " + served + " served, " + refused + " refused, " + failed
-                + " failed, " + expired + " failed at the deadline, " + left + " left by clients; attempts: "
+                + " failed, " + expired + " failed at the deadline, " + abandoned + " abandoned by clients; attempts: "
                 + outcomes;
         outcomes.clear();
         taken = 0;
@@ -32,7 +33,7 @@
         refused = 0;
         failed = 0;
         expired = 0;
-        left = 0;
+        abandoned = 0;
         return line;
     }
 }
--- a/src/main/java/ivybank/daemon/RequestDeadline.java
+++ b/src/main/java/ivybank/daemon/RequestDeadline.java
@@ -3,44 +3,53 @@
 import ivybank.common.EventLoopStallDetector;
 import ivybank.exchange.ClientRequest;
 
-/** When a request has to be answered, and what is kept of its time for the way of the answer; in milliseconds. */
+/**
+ * Computes when a request has to be answered, and how much of its time is reserved for returning the answer; in
+ * milliseconds.
+ */
 final class RequestDeadline {
 
-    /** Kept for the way of the answer: so much, or so much of a short time. */
+    /** The time reserved for returning the answer: this much, or this fraction of a short budget. */
     private static final double RESERVE_MS = 20;
 
-    private static final double RESERVE_PART = 0.1;
-    /** When the backstop acts, of the reserve, before the deadline: later than any attempt's time-out. */
-    private static final double BACKSTOP_PART = 0.5;
-    /** Left to a request that may have stood in its socket for longer than it had: so much, or so much of a short time. */
-    private static final double LEAST_LEFT_MS = 500;
+    private static final double RESERVE_FRACTION = 0.1;
+    /**
+     * The fraction of the reserve before the deadline at which the backstop acts: later than the timeout of any
+     * attempt.
+     */
+    private static final double BACKSTOP_FRACTION = 0.5;
+    /**
+     * The minimum time left to a request that may have been buffered in its socket for longer than its budget: this
+     * much, or this fraction of a short budget.
+     */
+    private static final double MIN_LEFT_MS = 500;
 
-    private static final double LEAST_LEFT_PART = 0.5;
-    /** How late the answer to one that may have stood there may be: it only may have come that early. */
-    private static final double LATE_MS = 300;
+    private static final double MIN_LEFT_FRACTION = 0.5;
+    /** The time by which the answer to a buffered request may be late: it may also have arrived later than assumed. */
+    private static final double MAX_LATE_MS = 300;
 
     private RequestDeadline() {}
 
     /**
-     * The time by which a request has to be answered. One that stood in a socket while the event loop stalled, or while nothing
-     * could be read there, has been out for longer than since it was read. Not all of that is taken off, and a little is left in any case: the request may also
-     * have come just now, and could be served.
+     * Returns the time by which a request has to be answered. A request that was buffered in a socket during an event
+     * loop stall, or while the socket could not be read, arrived before it was read. Not all of that time is
+     * subtracted, and a minimum is always left: the request may also have arrived just now, and could still be served.
      */
     static double atMs(ClientRequest request, double nowMs, EventLoopStallDetector stalls) {
-        double leastMs = nowMs + Math.min(LEAST_LEFT_MS, LEAST_LEFT_PART * request.budgetMs());
-        double byReadingMs = request.arrivedMs() + request.budgetMs();
+        double minDeadlineMs = nowMs + Math.min(MIN_LEFT_MS, MIN_LEFT_FRACTION * request.budgetMs());
+        double byReadTimeMs = request.arrivedMs() + request.budgetMs();
         double earliestMs = Math.min(request.earliestArrivalMs(), stalls.earliestMs(nowMs));
-        double byArrivalMs = earliestMs + LATE_MS + request.budgetMs();
-        return Math.min(byReadingMs, Math.max(leastMs, byArrivalMs));
+        double byArrivalTimeMs = earliestMs + MAX_LATE_MS + request.budgetMs();
+        return Math.min(byReadTimeMs, Math.max(minDeadlineMs, byArrivalTimeMs));
     }
 
-    /** What is kept of the request's time for the way of the answer. */
+    /** Returns how much of the request's time is reserved for returning the answer. */
     static double reserveMs(ClientRequest request) {
-        return Math.min(RESERVE_MS, RESERVE_PART * request.budgetMs());
+        return Math.min(RESERVE_MS, RESERVE_FRACTION * request.budgetMs());
     }
 
-    /** How long before the deadline the request is failed if nothing has answered it. */
+    /** Returns how long before the deadline the request is failed if it has not been answered. */
     static double backstopMs(ClientRequest request) {
-        return BACKSTOP_PART * reserveMs(request);
+        return BACKSTOP_FRACTION * reserveMs(request);
     }
 }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -35,22 +35,22 @@
 import java.util.function.Consumer;
 
 /**
- * Stands between the decision module and the sockets: tells the module what happens to requests and attempts, and carries out
- * what it asks for. All of it runs on one event loop, so nothing is locked.
+ * Connects the decision module and the sockets: notifies the module of what happens to requests and attempts, and
+ * carries out its actions. Runs on one event loop, so that nothing is locked.
  */
 final class RequestDispatcher implements Balancer.Actions, RequestHandler, AttemptSender.Listener {
 
-    /** Makes the module. */
+    /** Creates the decision module. */
     interface Factory {
         Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
 
-    private static final int FAILED = 502;
-    private static final int OUT_OF_TIME = 504;
+    private static final int BAD_GATEWAY = 502;
+    private static final int GATEWAY_TIMEOUT = 504;
     private static final double MICROS_IN_MS = 1000;
 
     private final Settings settings;
-    private int sidecars; // by the fleet's own view; 0 without one
+    private int sidecars; // from the view of the fleet; 0 without one
     private final EventLoop loop;
     private final Clock clock;
     private final Directory directory;
@@ -58,20 +58,20 @@
     private final Log log;
     private final Balancer balancer;
     private final Map<Integer, Exchange> exchanges = new HashMap<>();
-    /** The ids, as clients give them, of the requests that are not answered yet. */
+    /** The ids, as clients give them, of the requests that have not been answered yet. */
     private final Set<String> openIds = new HashSet<>();
 
     private final AttemptSender sender;
     private final ModuleEvents events;
     private final RequestCounters counters = new RequestCounters();
     private Tally tally = Tally.NONE;
-    private EventLoopStallDetector stallDetector = EventLoopStallDetector.NEVER;
-    private EventLoopStallDetector sendStalls = EventLoopStallDetector.NEVER;
-    private final InheritedState inheritance;
-    private volatile boolean listed; // read by the operators' door
+    private EventLoopStallDetector deadlineStalls = EventLoopStallDetector.NEVER;
+    private EventLoopStallDetector forwardStalls = EventLoopStallDetector.NEVER;
+    private final InheritedState inheritedState;
+    private volatile boolean listed; // read by the admin endpoint
     private int lastId;
-    /** The request that the module is being told of, or 0. */
-    private int deciding;
+    /** The request that the module is being notified of, or 0. */
+    private int notifyingRequest;
 
     private int unanswered;
 
@@ -93,56 +93,59 @@
         this.sender = new AttemptSender(settings, clock, pool, this);
         this.events = new ModuleEvents(log);
         this.balancer = factory.create(settings, seed, this);
-        this.inheritance = new InheritedState(directory, balancer, events, clock);
+        this.inheritedState = new InheritedState(directory, balancer, events, clock);
     }
 
-    // ---- What happens.
-
+    /** Starts the module with the nodes that were known last. */
     void start(HostUpdate known) {
-        events.tell(() -> balancer.start(clock.nowMs()));
+        events.deliver(() -> balancer.start(clock.nowMs()));
         if (!known.entries().isEmpty()) {
             upstreams(ListKind.CACHED, known);
         }
     }
 
-    /** From now on tells this of requests and attempts. Before the start. */
-    void countIn(Tally counts) {
+    /** Sets the tally that requests and attempts are counted in. Called before the start. */
+    void setTally(Tally counts) {
         tally = counts;
-        sender.countIn(counts);
+        sender.setTally(counts);
     }
 
-    /** From now on minds whether the event loop was held up: for the times of requests, and for what nodes are told of them. */
-    void mind(EventLoopStallDetector ofRequests, EventLoopStallDetector beforeSends) {
-        stallDetector = ofRequests;
-        sendStalls = beforeSends;
+    /**
+     * Sets the detectors of event loop stalls: one for the deadlines of requests, one for the budgets that are
+     * forwarded to nodes.
+     */
+    void setStallDetectors(EventLoopStallDetector forDeadlines, EventLoopStallDetector forForwarding) {
+        deadlineStalls = forDeadlines;
+        forwardStalls = forForwarding;
     }
 
-    /** From now on sends nothing on by a list that this lease no longer covers, nor what the guard denies. */
-    void heeds(ListLease lease, InvariantGuard guard) {
-        sender.heeds(lease, guard);
+    /** Forwards nothing from now on by a list that this lease no longer covers, nor what the guard denies. */
+    void enforce(ListLease lease, InvariantGuard guard) {
+        sender.enforce(lease, guard);
     }
 
-    void updated(HostUpdate update) {
+    /** Applies an update of the list of nodes. */
+    void listUpdated(HostUpdate update) {
         upstreams(update.whole() ? ListKind.FULL : ListKind.DELTA, update);
     }
 
     private void upstreams(ListKind kind, HostUpdate update) {
-        // First the directory, so that a connection that is coming up is stopped even before the module is told.
+        // The directory comes first: it stops connections that are being opened before the module is notified.
         List<Upstream> entries = directory.apply(update, clock.nowMs());
         listed = true;
-        events.tell(() -> balancer.upstreams(clock.nowMs(), kind, entries));
-        inheritance.listed(kind);
+        events.deliver(() -> balancer.upstreams(clock.nowMs(), kind, entries));
+        inheritedState.listed(kind);
     }
 
     /**
-     * Takes over what another process of this sidecar has learned, as far as it is believed: of the nodes that are listed
-     * now, and of those that discovery names with its first whole list.
+     * Takes over what another process of this sidecar has learned, weighted by the confidence in it: for the nodes that
+     * are listed now, and for those in the first full list of discovery.
      */
     void recall(Learned<String> learned, double trust) {
-        inheritance.take(learned, trust);
+        inheritedState.take(learned, trust);
     }
 
-    /** What this process leaves for others of its sidecar. */
+    /** Returns the state that this process shares with other processes of its sidecar. */
     Memory memory(int descriptors) {
         Learned<String> learned = balancer.learned().named(directory::host);
         return new Memory(
@@ -152,28 +155,34 @@
                 learned.withStarts((host, startedMs) -> startedMs <= 0 ? startedMs : directory.statedStartMs(host)));
     }
 
-    /** Tells what another process has out by node, and how many requests it has in hand. */
-    void elsewhere(Map<String, Integer> out, int inHand) {
-        Map<Integer, Integer> numbered = new HashMap<>();
-        out.forEach((host, attempts) -> {
+    /**
+     * Sets the load of another process of this sidecar.
+     *
+     * @param inFlight its attempts in flight, by node
+     * @param unansweredThere its requests in progress
+     */
+    void siblingLoad(Map<String, Integer> inFlight, int unansweredThere) {
+        Map<Integer, Integer> byNumber = new HashMap<>();
+        inFlight.forEach((host, attempts) -> {
             Integer number = directory.number(host);
             if (number != null) {
-                numbered.put(number, attempts);
+                byNumber.put(number, attempts);
             }
         });
-        double part = inHand == 0 ? 1 : (unanswered + 1.0) / (unanswered + 1.0 + inHand);
-        events.tell(() -> balancer.elsewhere(numbered, part));
+        double share = unansweredThere == 0 ? 1 : (unanswered + 1.0) / (unanswered + 1.0 + unansweredThere);
+        events.deliver(() -> balancer.elsewhere(byNumber, share));
     }
 
-    /** Takes over which nodes operators have taken out, by their ids, with when they did. */
-    void takeOut(Map<String, Double> nodes) {
+    /** Applies the nodes that operators have put into maintenance, by id, with the time of each. */
+    void applyMaintenance(Map<String, Double> nodes) {
         List<Upstream> entries = directory.takeOut(nodes, clock.nowMs());
         if (!entries.isEmpty()) {
-            events.tell(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, entries));
+            events.deliver(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, entries));
         }
     }
 
-    boolean knows(String node) {
+    /** Returns whether a node with this id is known. */
+    boolean isKnownNode(String node) {
         return directory.knows(node);
     }
 
@@ -195,32 +204,32 @@
     public int request(ClientRequest request, Consumer<Answer> client) {
         boolean arriving = request.arriving();
         double deadlineMs =
-                arriving ? Exchange.NO_DEADLINE_YET : RequestDeadline.atMs(request, clock.nowMs(), stallDetector);
-        double earliestMs = Math.min(request.earliestArrivalMs(), sendStalls.earliestMs(clock.nowMs()));
+                arriving ? Exchange.NO_DEADLINE_YET : RequestDeadline.atMs(request, clock.nowMs(), deadlineStalls);
+        double earliestMs = Math.min(request.earliestArrivalMs(), forwardStalls.earliestMs(clock.nowMs()));
         Exchange exchange = new Exchange(++lastId, request, deadlineMs, earliestMs, client);
         exchanges.put(exchange.id, exchange);
         openIds.add(request.callId());
         unanswered++;
         counters.taken++;
         tally.taken();
-        // The module goes by when it was read: less time than others have is its sign of a repeat.
+        // The module gets the time since the request was read: it takes a shorter time than usual as a sign of a retry.
         double leftMs = arriving ? request.budgetMs() : request.arrivedMs() + request.budgetMs() - clock.nowMs();
         if (!arriving) {
-            guard(exchange, deadlineMs - clock.nowMs());
+            startBackstop(exchange, deadlineMs - clock.nowMs());
         }
-        Request told = new Request(
+        Request notified = new Request(
                 exchange.id,
                 request.requestClass(),
                 request.tenant(),
                 Math.max(0, leftMs - RequestDeadline.reserveMs(request)),
                 request.repeat(),
                 arriving);
-        events.tell(() -> {
-            deciding = exchange.id;
+        events.deliver(() -> {
+            notifyingRequest = exchange.id;
             try {
-                balancer.request(clock.nowMs(), told);
+                balancer.request(clock.nowMs(), notified);
             } finally {
-                deciding = 0;
+                notifyingRequest = 0;
             }
         });
         return exchange.id;
@@ -229,19 +238,20 @@
     @Override
     public void arrived(int id) {
         Exchange exchange = exchanges.get(id);
-        if (exchange != null && !exchange.over && exchange.isArriving()) {
+        if (exchange != null && !exchange.closed && exchange.isArriving()) {
             double budgetMs = exchange.request.budgetMs();
             exchange.deadlineMs = clock.nowMs() + budgetMs;
-            if (exchange.passingOn < 0) {
-                guard(exchange, budgetMs);
+            if (exchange.streamingAttempt < 0) {
+                startBackstop(exchange, budgetMs);
             }
-            events.tell(() -> balancer.arrived(
+            events.deliver(() -> balancer.arrived(
                     clock.nowMs(), id, Math.max(0, budgetMs - RequestDeadline.reserveMs(exchange.request))));
         }
     }
 
-    private void guard(Exchange exchange, double leftMs) {
-        exchange.backstop = schedule(leftMs - RequestDeadline.backstopMs(exchange.request), () -> expire(exchange));
+    private void startBackstop(Exchange exchange, double leftMs) {
+        exchange.backstop =
+                schedule(leftMs - RequestDeadline.backstopMs(exchange.request), () -> failAtDeadline(exchange));
     }
 
     @Override
@@ -252,47 +262,50 @@
     @Override
     public void clientLeft(int id) {
         Exchange exchange = exchanges.get(id);
-        if (exchange != null && !exchange.over) {
-            counters.left++;
+        if (exchange != null && !exchange.closed) {
+            counters.abandoned++;
             close(exchange);
-            events.tell(() -> balancer.clientLeft(clock.nowMs(), id));
-            exchange.leaveUnsent();
+            events.deliver(() -> balancer.clientLeft(clock.nowMs(), id));
+            exchange.abandonUnsent();
         }
     }
 
-    /** Guards against a request that nothing has answered in time, whatever the reason: no client waits in vain. */
-    private void expire(Exchange exchange) {
-        if (!exchange.over) {
+    /**
+     * Fails a request at its deadline. Guards against a request that nothing has answered in time, for whatever reason:
+     * no client waits in vain.
+     */
+    private void failAtDeadline(Exchange exchange) {
+        if (!exchange.closed) {
             counters.expired++;
             log.line("request " + exchange.id + " of class " + exchange.request.requestClass()
                     + " was still open at its deadline after " + exchange.attempts.size() + " attempts: failed");
-            answer(exchange, Answer.status(OUT_OF_TIME));
-            events.tell(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            answer(exchange, Answer.status(GATEWAY_TIMEOUT));
+            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
         }
     }
 
-    /** Fails what is still open when the process is about to end: after that nobody could answer it. */
+    /** Fails all open requests when the process is about to end: nobody could answer them afterwards. */
     void failOpen() {
         List<Exchange> open = exchanges.values().stream()
                 .filter(exchange -> exchange.isUnanswered())
                 .toList();
         if (!open.isEmpty()) {
-            log.line("ending: " + open.size() + " requests were still open and are failed");
+            log.line("drain: failing " + open.size() + " requests that are still open");
         }
         for (Exchange exchange : open) {
             counters.failed++;
-            answer(exchange, Answer.status(FAILED));
-            events.tell(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            answer(exchange, Answer.status(BAD_GATEWAY));
+            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
         }
     }
 
     @Override
-    public void ended(Exchange exchange, int number, double sentMs, Ending ending) {
-        exchange.out--;
-        counters.ended(ending.outcome());
+    public void attemptEnded(Exchange exchange, int number, double sentMs, Ending ending) {
+        exchange.inFlight--;
+        counters.attemptEnded(ending.outcome());
         tally(exchange.attempts.get(number).node, ending.outcome());
         exchange.recordEnd(number, ending);
-        if (exchange.passingOn == number && !exchange.over) {
+        if (exchange.streamingAttempt == number && !exchange.closed) {
             if (ending.outcome() == Outcome.OK) {
                 served();
             } else {
@@ -306,7 +319,7 @@
             tally.took(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
         }
         Node node = exchange.attempts.get(number).node;
-        events.tell(() -> balancer.attemptEnded(
+        events.deliver(() -> balancer.attemptEnded(
                 clock.nowMs(),
                 new AttemptEnd(
                         exchange.id,
@@ -314,7 +327,7 @@
                         node.id,
                         ending.outcome(),
                         clock.nowMs() - sentMs,
-                        exchange.over,
+                        exchange.closed,
                         ending.report())));
         forget(exchange);
     }
@@ -333,35 +346,35 @@
     }
 
     @Override
-    public void began(Exchange exchange, int number, double sentMs, Answer answer) {
+    public void responseStarted(Exchange exchange, int number, double sentMs, Answer answer) {
         if (!exchange.isUnanswered()) {
             answer.rest().leave();
             return;
         }
-        exchange.passingOn = number;
-        exchange.stopBackstop();
+        exchange.streamingAttempt = number;
+        exchange.cancelBackstop();
         exchange.client.accept(answer);
-        events.tell(() -> balancer.streamStarted(clock.nowMs(), exchange.id, number, clock.nowMs() - sentMs));
-        exchange.leaveUnsent();
+        events.deliver(() -> balancer.streamStarted(clock.nowMs(), exchange.id, number, clock.nowMs() - sentMs));
+        exchange.abandonUnsent();
     }
 
     private void answer(Exchange exchange, Answer answer) {
         close(exchange);
         exchange.client.accept(answer);
-        exchange.leaveUnsent();
+        exchange.abandonUnsent();
     }
 
     private void close(Exchange exchange) {
-        exchange.over = true;
+        exchange.closed = true;
         tally.answered();
-        exchange.stopBackstop();
+        exchange.cancelBackstop();
         unanswered--;
         openIds.remove(exchange.request.callId());
         forget(exchange);
     }
 
     private void forget(Exchange exchange) {
-        if (exchange.over && exchange.out == 0) {
+        if (exchange.closed && exchange.inFlight == 0) {
             exchanges.remove(exchange.id);
         }
     }
@@ -370,31 +383,29 @@
         return loop.schedule(task, Math.max(0, (long) (delayMs * MICROS_IN_MS)), TimeUnit.MICROSECONDS);
     }
 
-    // ---- What the module asks for.
-
     @Override
     public void send(int request, int upstream, double timeoutMs) {
         Exchange exchange = exchanges.get(request);
         Node node = directory.node(upstream);
         if (exchange == null) {
-            log.line("the decision module sent request " + request + ", which is not known here");
+            log.line("the decision module sent request " + request + ", which is unknown");
             return;
         }
         if (node == null) {
-            // It has been forgotten since: without an end of this attempt the request would wait for its deadline.
-            log.line("the decision module sent request " + request + " to upstream " + upstream
-                    + ", which is not known here");
+            // The node has been removed since. The attempt still has to end, or the request would wait for its
+            // deadline.
+            log.line("the decision module sent request " + request + " to upstream " + upstream + ", which is unknown");
             node = new Node(upstream, "unknown");
         }
-        sender.send(exchange, node, timeoutMs, exchange.id == deciding);
+        sender.send(exchange, node, timeoutMs, exchange.id == notifyingRequest);
     }
 
     @Override
-    public void unrecorded(Exchange exchange) {
-        if (!exchange.over) {
+    public void recordFailed(Exchange exchange) {
+        if (!exchange.closed) {
             counters.refused++;
             answer(exchange, Answer.refused(settings.limits().maxRetryAfterMs()));
-            events.tell(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
         }
     }
 
@@ -412,7 +423,7 @@
         Exchange exchange = exchanges.get(request);
         if (exchange != null && exchange.isUnanswered()) {
             counters.failed++;
-            answer(exchange, Answer.status(FAILED));
+            answer(exchange, Answer.status(BAD_GATEWAY));
         }
     }
 
@@ -426,19 +437,19 @@
 
     @Override
     public void timer(double delayMs, int token) {
-        schedule(delayMs, () -> events.tell(() -> balancer.timer(clock.nowMs(), token)));
+        schedule(delayMs, () -> events.deliver(() -> balancer.timer(clock.nowMs(), token)));
     }
 
     @Override
-    public int sidecars(int told) {
-        return sidecars > 0 ? sidecars : told;
+    public int sidecars(int configured) {
+        return sidecars > 0 ? sidecars : configured;
     }
 
-    /** From now on this many are known to be there. */
-    void sidecars(int now, String why) {
-        if (now != sidecars) {
-            sidecars = now;
-            log.line("sidecars: " + now + " are reckoned with, " + why);
+    /** Sets the known number of sidecars. */
+    void sidecars(int count, String reason) {
+        if (count != sidecars) {
+            sidecars = count;
+            log.line("sidecars: the number in use is " + count + ", " + reason);
         }
     }
 
@@ -452,17 +463,18 @@
 
     @Override
     public void subscribe(boolean on) {
-        // Discovery is watched from the start to the end.
+        // The watch on discovery is open from the start to the end.
     }
 
     @Override
     public void fetchList() {
-        // The watch brings the whole list whenever something may have been missed.
+        // The watch sends the full list whenever a change may have been missed.
     }
 
     @Override
     public void probe(int upstream) {
-        log.line("the decision module asked for a probe of upstream " + upstream + ": this deployment allows none");
+        log.line("the decision module asked for a probe of upstream " + upstream
+                + ", which this deployment does not allow");
     }
 
     @Override
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -56,36 +56,48 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A real sidecar: puts the parts together on one event loop, starts them, and ends them in order. */
+/** A sidecar on sockets: wires its components on one event loop, starts them, and shuts them down in order. */
 public final class Sidecar implements AdminTarget {
 
     private static final int BACKLOG = 1024;
-    private static final long TALLY_MS = 1000;
+    private static final long TALLY_INTERVAL_MS = 1000;
     private static final int PAGE_BYTES = 8192;
-    private static final int CHUNK_ORDER = 5; // chunks of 256 KiB: small messages, little memory
-    /** What one read from a client takes: requests are small, and what it holds beyond those served waits here. */
-    private static final int LEAST_READ = 512;
-
-    private static final int FIRST_READ = 1024;
-    private static final int LONGEST_READ = 16 * 1024;
-    private static final int CACHED_BUFFERS = 32;
-    /** Of what a client sends the system holds little more than this: its end may stand behind all that. */
-    private static final int READ_AHEAD_BYTES = 256 * 1024;
-
-    /** A node with many connections open is slower; an idle one costs as much as a new one within a few seconds. */
-    private static final double LONGEST_IDLE_MS = 3000;
-
-    private static final double PART_OF_IDLE_LIMIT = 0.5;
-    private static final long REPORT_MS = 10_000;
-    private static final long POLL_MS = 5;
-    /** How often a call to discovery is looked at of which the selector has told nothing: well within a drain's grace. */
-    private static final long VERIFY_MS = 40;
-
-    private static final long LISTEN_PAUSE_MS = 100;
-    private static final int MOST_LISTEN_TRIES = 100;
-    private static final long LONGEST_WARM_UP_MS = 3000;
-    private static final long LONGEST_DRAIN_S = 15;
-    private static final int ENDED_BY_SIGTERM = 143;
+    private static final int CHUNK_ORDER = 5; // chunks of 256 KiB, because messages are small and memory is scarce
+    /**
+     * The buffer sizes of one read from a client. Requests are small, and pipelined requests beyond those being served
+     * wait here.
+     */
+    private static final int MIN_READ_BYTES = 512;
+
+    private static final int INITIAL_READ_BYTES = 1024;
+    private static final int MAX_READ_BYTES = 16 * 1024;
+    private static final int CACHED_BUFFER_COUNT = 32;
+    /**
+     * The receive buffer of client sockets. The kernel buffers little more than this, and the end of a client's
+     * connection may be queued behind it.
+     */
+    private static final int RECEIVE_BUFFER_BYTES = 256 * 1024;
+
+    /**
+     * The maximum idle time of upstream connections: a node with many open connections is slower, and an idle
+     * connection costs as much as a new one within a few seconds.
+     */
+    private static final double MAX_UPSTREAM_IDLE_MS = 3000;
+
+    private static final double IDLE_LIMIT_FRACTION = 0.5;
+    private static final long REPORT_INTERVAL_MS = 10_000;
+    private static final long DRAIN_POLL_INTERVAL_MS = 5;
+    /**
+     * The interval at which a call to discovery is checked although the selector reports nothing: well within a drain's
+     * grace period.
+     */
+    private static final long VERIFY_INTERVAL_MS = 40;
+
+    private static final long LISTEN_RETRY_DELAY_MS = 100;
+    private static final int MAX_LISTEN_TRIES = 100;
+    private static final long WARM_UP_TIMEOUT_MS = 3000;
+    private static final long DRAIN_TIMEOUT_S = 15;
+    private static final int SIGTERM_EXIT_CODE = 143;
 
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
@@ -106,21 +118,21 @@
     private double tallyDueMs;
     private final StoreSettings store; // null: no promises are kept
     private final ClientServer.Limits clientLimits;
-    /** Done once clients may be served as far as discovery is concerned: it was asked, or need not be before. */
-    private final Promise<Void> askedEnough;
+    /** Completes once discovery allows clients to be served: it was asked, or need not be before. */
+    private final Promise<Void> discoveryReady;
 
-    private boolean follows;
+    private boolean followsDiscovery;
     private volatile PromiseKeeper promises; // null: none are kept, or not yet
     private volatile ClientServer server; // null until it is prepared
     private final CountDownLatch drained = new CountDownLatch(1);
-    private final ServerSocketChannel inherited; // null: it listens by itself
-    private volatile Handover handover; // null: no other process takes over
-    private volatile boolean company;
-    private volatile PeerFleet peers; // null: it knows of no other sidecar
+    private final ServerSocketChannel inherited; // null: this process listens itself
+    private volatile Handover handover; // null: no other process can take over
+    private volatile boolean siblingPresent;
+    private volatile PeerFleet peers; // null: this sidecar has no peers
     private volatile boolean successor;
-    /** Whether discovery was asked, and has answered or is known not to. */
+    /** Whether discovery was asked, and has answered or is known not to answer. */
     private boolean discoveryAsked;
-    /** Whether clients' connections are accepted, or would be if there were room. */
+    /** Whether client connections are accepted, or would be with free capacity. */
     private volatile boolean listening;
 
     private final EventLoopStallDetector beforeSends;
@@ -129,8 +141,10 @@
     private final DrainSequence drain;
 
     /**
-     * @param store where promises are kept; null for none
-     * @param inherited the clients' listening socket, which other processes have too; null to listen as configured
+     * Creates a sidecar; it does not listen yet.
+     *
+     * @param store the settings of the store of promises; null for none
+     * @param inherited the clients' listening socket, shared with other processes; null to listen as configured
      */
     Sidecar(
             Config config,
@@ -155,20 +169,20 @@
                 e -> false,
                 () -> new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()));
         loop = group.next();
-        askedEnough = loop.newPromise();
+        discoveryReady = loop.newPromise();
         timeline.reached("event loop made");
         watchdog = new Watchdog(loop, clock, log);
         guard = new InvariantGuard(log::line);
         DescriptorShares shares = DescriptorShares.of(config.sockets());
-        descriptors = new Descriptors(shares.all());
+        descriptors = new Descriptors(shares.total());
         clientLimits = shares.clients();
         UpstreamPool.Limits limits = UpstreamPool.Limits.usual(
                 shares.upstreams(),
                 (int) config.connectTimeoutMs(),
-                Math.min(LONGEST_IDLE_MS, PART_OF_IDLE_LIMIT * config.connectionIdleMs()),
+                Math.min(MAX_UPSTREAM_IDLE_MS, IDLE_LIMIT_FRACTION * config.connectionIdleMs()),
                 config.settings().contract().coldMs());
-        buffers =
-                new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, CHUNK_ORDER, CACHED_BUFFERS, CACHED_BUFFERS, false);
+        buffers = new PooledByteBufAllocator(
+                true, 0, 1, PAGE_BYTES, CHUNK_ORDER, CACHED_BUFFER_COUNT, CACHED_BUFFER_COUNT, false);
         Bootstrap base = new Bootstrap().option(ChannelOption.ALLOCATOR, buffers);
         pool = new UpstreamPool(
                 loop,
@@ -188,7 +202,7 @@
                 file::changedDiscovery,
                 config.known().resumeFrom(config.settings().askForList()),
                 timing,
-                dispatcher::updated,
+                dispatcher::listUpdated,
                 clock,
                 log);
         configReload = new ConfigReload(loop, file, discovery::moveTo, clock, log);
@@ -198,8 +212,8 @@
     }
 
     /**
-     * Opens the store and makes the clients' side. May take long where the system fails it for a moment, so that discovery is
-     * followed before.
+     * Opens the store and creates the client side. May take long while the system fails it temporarily, so that
+     * discovery is followed before.
      */
     private void prepare() throws IOException {
         promises = store == null ? null : openPromises();
@@ -215,21 +229,22 @@
     }
 
     /**
-     * Runs a sidecar as the environment says, until the process is told to end.
+     * Runs a sidecar as its environment configures it, until the process is told to shut down.
      *
      * @param operator the operator file, or null for none
      */
-    @SuppressWarnings("ThreadPriorityCheck") // heeded only where the JVM is told to, and nothing depends on it
+    @SuppressWarnings("ThreadPriorityCheck") // effective only with a JVM option, and nothing depends on it
     public static void serve(Map<String, String> environment, String operator) throws IOException, InputException {
-        boolean hearsHangups = HangupSignal.listen();
+        boolean sighupEnabled = HangupSignal.listen();
         BackgroundOutput output = BackgroundOutput.replaceStandardError();
-        SiblingProcesses company =
-                environment.containsKey(InheritedListener.VARIABLE) ? AdminStartup.joinIfPossible(environment) : null;
+        SiblingProcesses siblings = environment.containsKey(InheritedListener.VARIABLE)
+                ? AdminStartup.registerIfPossible(environment)
+                : null;
         Config config = Config.load(environment);
         Timing standard = Timing.standard(config.settings().askForList(), config.drainGraceMs());
-        // Without the file nothing of it is loaded.
-        OperatorFile more = operator == null ? null : OperatorFile.read(Path.of(operator), standard);
-        Timing timing = more == null ? standard : more.discovery();
+        // Without the file its classes are not loaded.
+        OperatorFile operatorFile = operator == null ? null : OperatorFile.read(Path.of(operator), standard);
+        Timing timing = operatorFile == null ? standard : operatorFile.discovery();
         Clock clock = Clock.system();
         Log log = new Log(System.err, clock);
         Sidecar sidecar = new Sidecar(
@@ -239,47 +254,45 @@
                 clock,
                 DrainTimes.longest(config.settings()),
                 timing,
-                more == null ? null : more.store(),
+                operatorFile == null ? null : operatorFile.store(),
                 InheritedListener.listener(environment));
         sidecar.follow(ProcessAge.mostMs());
         sidecar.prepare();
-        if (more != null && more.peers() != null) {
-            sidecar.among(
+        if (operatorFile != null && operatorFile.peers() != null) {
+            sidecar.joinPeers(
                     Peers.of(
-                            more.peers(),
+                            operatorFile.peers(),
                             config,
                             environment,
                             sidecar.loop,
                             clock,
                             log,
-                            count -> sidecar.dispatcher.sidecars(count, "by the fleet's own view")),
-                    company != null && company.others());
+                            count -> sidecar.dispatcher.sidecars(count, "from the view of the fleet")),
+                    siblings != null && siblings.hasOthers());
         }
-        if (config.control() != null) {
+        if (config.adminAddress() != null) {
             StartRetry.call("opening the admin endpoint", log, e -> false, () -> {
-                AdminStartup.open(sidecar, config.control(), environment, company, clock, log);
+                AdminStartup.open(sidecar, config.adminAddress(), environment, siblings, clock, log);
                 return sidecar;
             });
         }
         HangupSignal.handle(sidecar::reload);
-        if (!hearsHangups) {
-            log.line(
-                    "SIGHUP is ignored since before the start (nohup does so) and will do nothing: the configuration is"
-                            + " read again only when a connection to discovery has ended");
+        if (!sighupEnabled) {
+            log.line("SIGHUP is ignored since before the start (as by nohup) and has no effect: the configuration is"
+                    + " reloaded only when a connection to discovery has ended");
         }
-        if (company != null) {
-            // Another process has clients to serve on the core that both have: to get ready may wait for it. The
-            // threads that
-            // serve were started before, and keep their part. Only where the JVM is told to heed priorities.
+        if (siblings != null) {
+            // Another process is serving clients on the same core, so that the start can wait for it. The threads that
+            // serve were started before and keep their priority. Effective only with the JVM option for priorities.
             Thread.currentThread().setPriority(Thread.MIN_PRIORITY);
         }
-        Warmup.run(config.settings(), LONGEST_WARM_UP_MS);
+        Warmup.run(config.settings(), WARM_UP_TIMEOUT_MS);
         sidecar.timeline.reached("warmed up");
-        if (sidecar.inherited != null && AdminStartup.folder(environment) != null) {
-            sidecar.handOver(AdminStartup.folder(environment));
+        if (sidecar.inherited != null && AdminStartup.sharedFolder(environment) != null) {
+            sidecar.handOver(AdminStartup.sharedFolder(environment));
         }
         sidecar.start();
-        // The socket that others have too is never closed here: the process just ends, and nothing else is left to do.
+        // A socket shared with other processes is never closed here: the process ends without further steps.
         Runnable end = () -> {
             if (sidecar.inherited == null) {
                 sidecar.drain();
@@ -287,46 +300,50 @@
             } else {
                 sidecar.finishAll();
                 output.awaitWritten();
-                Runtime.getRuntime().halt(ENDED_BY_SIGTERM);
+                Runtime.getRuntime().halt(SIGTERM_EXIT_CODE);
             }
         };
         Runtime.getRuntime().addShutdownHook(new Thread(end, "drain"));
     }
 
-    /** Puts it among its peers; {@code later}: another process of this sidecar was here first. */
-    private void among(PeerFleet fleet, boolean later) throws IOException {
+    /**
+     * Joins the fleet of peers.
+     *
+     * @param later whether another process of this sidecar was running first
+     */
+    private void joinPeers(PeerFleet fleet, boolean later) throws IOException {
         successor = later;
-        // An upgrade has two processes at one address for a while.
+        // During an upgrade two processes share one address for a while.
         Chain ticks = StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
         EventLoopTasks.execute(loop, () -> watchdog.watch(ticks));
         peers = fleet;
     }
 
     @Override
-    public CompletionStage<String> fleet() {
+    public CompletionStage<String> fleetView() {
         return peers == null ? null : peers.asked();
     }
 
     @Override
-    public void company(boolean another) {
-        company = another;
-        loop.execute(() -> server.company(another));
-        if (peers != null && (!another || !successor)) { // of two, the one that came later speaks
-            loop.execute(() -> peers.hush(another));
+    public void siblingPresent(boolean present) {
+        siblingPresent = present;
+        loop.execute(() -> server.company(present));
+        if (peers != null && (!present || !successor)) { // of two processes, the later one represents the sidecar
+            loop.execute(() -> peers.hush(present));
         }
-        successor &= another;
-        Handover its = handover;
-        if (its != null) {
-            its.company(another);
+        successor &= present;
+        Handover current = handover;
+        if (current != null) {
+            current.siblingPresent(present);
         }
     }
 
-    /** Takes over what another process has left in this folder, and leaves what this one learns there. */
+    /** Takes over the state that another process has left in this folder, and shares the state of this one there. */
     void handOver(Path folder) {
         Handover next = new Handover(folder, loop, dispatcher, server, descriptors, clock, log);
         next.takeOver();
         handover = next;
-        next.company(company);
+        next.siblingPresent(siblingPresent);
         Chain rounds = next.start();
         EventLoopTasks.execute(loop, () -> watchdog.watch(rounds));
     }
@@ -336,7 +353,7 @@
             PromiseKeeper keeper = StartRetry.call(
                     "opening the store",
                     log,
-                    KeptPromises::isLasting,
+                    KeptPromises::isPermanent,
                     () -> KeptPromises.open(store, config.name(), config.settings(), loop, clock, log));
             keeper.driver(dispatcher);
             return keeper;
@@ -346,14 +363,14 @@
         }
     }
 
-    /** Follows discovery, and listens once all is there that clients need. */
+    /** Follows discovery, and listens once everything that clients need is available. */
     InetSocketAddress start() throws IOException {
         follow(0);
         if (server == null) {
             prepare();
         }
         Promise<Channel> bound = loop.newPromise();
-        askedEnough.addListener(asked -> {
+        discoveryReady.addListener(asked -> {
             if (asked.isSuccess()) {
                 serve(bound);
             } else {
@@ -375,28 +392,28 @@
         return (InetSocketAddress) bound.getNow().localAddress();
     }
 
-    /** Whether this process can serve. */
+    /** Returns whether this process can serve. */
     @Override
-    public boolean serves() {
+    public boolean isServing() {
         return listening && dispatcher.ready();
     }
 
     @Override
-    public CompletionStage<Boolean> knows(String node) {
-        return CompletableFuture.supplyAsync(() -> dispatcher.knows(node), loop);
+    public CompletionStage<Boolean> isKnownNode(String node) {
+        return CompletableFuture.supplyAsync(() -> dispatcher.isKnownNode(node), loop);
     }
 
     @Override
-    public CompletionStage<Void> obey(MaintenanceState orders) {
+    public CompletionStage<Void> applyMaintenance(MaintenanceState state) {
         return CompletableFuture.runAsync(
                 () -> {
-                    dispatcher.takeOut(orders.out());
-                    server.standBy(orders.standbySinceMs());
+                    dispatcher.applyMaintenance(state.nodesInMaintenance());
+                    server.standBy(state.standbySinceMs());
                 },
                 loop);
     }
 
-    /** Begins to serve clients. On the event loop. */
+    /** Starts to serve clients. Called on the event loop. */
     private void serve(Promise<Channel> bound) {
         try {
             server.heeds(guard);
@@ -408,93 +425,94 @@
         }
     }
 
-    /** Listens, and tries again where the system fails it for a moment: not where another program has the address. */
+    /** Listens, and retries on temporary failures of the system; fails where another program uses the address. */
     private void listen(Promise<Channel> bound, int tries) {
         listen().addListener((ChannelFuture up) -> EventLoopTasks.execute(loop, () -> {
             if (up.isSuccess()) {
                 bound.trySuccess(up.channel());
-            } else if (tries >= MOST_LISTEN_TRIES || StartRetry.isAddressInUse(up.cause())) {
+            } else if (tries >= MAX_LISTEN_TRIES || StartRetry.isAddressInUse(up.cause())) {
                 bound.tryFailure(up.cause());
             } else {
-                log.line("cannot listen yet, and trying again: " + up.cause());
-                loop.schedule(() -> listen(bound, tries + 1), LISTEN_PAUSE_MS, TimeUnit.MILLISECONDS);
+                log.line("cannot listen yet, retrying: " + up.cause());
+                loop.schedule(() -> listen(bound, tries + 1), LISTEN_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             }
         }));
     }
 
     /**
-     * Starts the module with the list as it was last known, and discovery: before anything that may take long, for what discovery
-     * tells counts from the first moment of a process. Guards nodes that have begun to drain before this process was there: where
-     * lists are pushed nothing is served before the agent has been asked, and has answered or is seen not to.
+     * Starts the module with the last known list, and starts discovery, before anything that may take long: changes
+     * that discovery announces count from the start of the process. Guards nodes that began to drain before this
+     * process started: where lists are pushed, no client is served until the discovery agent has answered or is known
+     * not to answer.
      *
-     * @param listAgeMs how old the list that the process began with may be, in milliseconds
+     * @param listAgeMs the maximum age of the list that the process starts with, in milliseconds
      */
     private void follow(double listAgeMs) {
-        if (follows) {
+        if (followsDiscovery) {
             return;
         }
-        follows = true;
+        followsDiscovery = true;
         double listAtMs = clock.nowMs() - listAgeMs;
         loop.execute(() -> {
             try {
-                beginToFollow(listAtMs);
+                startFollowing(listAtMs);
             } catch (RuntimeException e) {
-                askedEnough.tryFailure(e);
+                discoveryReady.tryFailure(e);
             }
         });
     }
 
-    private void beginToFollow(double listAtMs) {
+    private void startFollowing(double listAtMs) {
         pool.countIn(tally);
-        dispatcher.countIn(tally);
+        dispatcher.setTally(tally);
         discovery.countIn(tally);
         ListLease lease = ListLease.usual(timing.asked(), config.drainGraceMs());
         lease.beginsAt(listAtMs);
         discovery.renews(lease);
-        dispatcher.heeds(lease, guard);
+        dispatcher.enforce(lease, guard);
         watchdog.watch(discovery);
         watchdog.watch(configReload);
         pool.chains().forEach(watchdog::watch);
         pool.mind(beforeSends);
-        dispatcher.mind(ofRequests, beforeSends);
-        look(beforeSends);
-        look(ofRequests);
-        every("verification of the call to discovery", VERIFY_MS, discovery::verify);
-        log.line(config.name() + " of " + config.settings().sidecars() + " sidecars begins with a list of "
-                + config.known().entries().size() + " nodes; limits: " + config.limits());
+        dispatcher.setStallDetectors(ofRequests, beforeSends);
+        watchForStalls(beforeSends);
+        watchForStalls(ofRequests);
+        every("verification of the call to discovery", VERIFY_INTERVAL_MS, discovery::verify);
+        log.line(config.name() + " of " + config.settings().sidecars() + " sidecars starts with a list of "
+                + config.known().entries().size() + " nodes; limits: " + config.limitsSummary());
         dispatcher.start(config.known());
         if (timing.asked()) {
-            askedEnough.trySuccess(null);
+            discoveryReady.trySuccess(null);
         } else {
             discovery.onFirstWord(() -> {
-                timeline.reached("discovery heard or given up for now");
+                timeline.reached("discovery answered or timed out");
                 discoveryAsked = true;
-                askedEnough.trySuccess(null);
+                discoveryReady.trySuccess(null);
             });
         }
-        timeline.reached("discovery called");
+        timeline.reached("call to discovery started");
         discovery.start();
-        tallyDueMs = clock.nowMs() + TALLY_MS;
-        watchdog.watch(PeriodicTask.startAtRate("tally of each second", loop, clock, log, TALLY_MS, this::tally));
-        every("report", REPORT_MS, this::report);
+        tallyDueMs = clock.nowMs() + TALLY_INTERVAL_MS;
+        watchdog.watch(PeriodicTask.startAtRate("tally per second", loop, clock, log, TALLY_INTERVAL_MS, this::tally));
+        every("report", REPORT_INTERVAL_MS, this::report);
         watchdog.start();
     }
 
-    /** Runs a step again and again on the event loop, whatever becomes of a run. */
+    /** Runs a step periodically on the event loop, whatever the outcome of a run. */
     private void every(String name, long periodMs, Runnable step) {
         watchdog.watch(PeriodicTask.start(name, loop, clock, log, periodMs, step));
     }
 
-    /** Looks from now on whether the event loop was held up, as often as is needed to notice it. */
-    private void look(EventLoopStallDetector stallDetector) {
+    /** Checks from now on whether the event loop stalled, as often as the detector needs. */
+    private void watchForStalls(EventLoopStallDetector stallDetector) {
         long periodMs = (long) stallDetector.periodMs();
-        Runnable look = () -> {
+        Runnable check = () -> {
             watchdog.checkIfDue();
             if (stallDetector.look(clock.nowMs())) {
                 settle(stallDetector);
             }
         };
-        every("look whether the event loop stalled", periodMs, look);
+        every("check for event loop stalls", periodMs, check);
     }
 
     private void settle(EventLoopStallDetector stallDetector) {
@@ -507,25 +525,25 @@
 
     private ChannelFuture listen() {
         if (!guard.starting(timing.asked() || discoveryAsked).isAllowed()) {
-            throw new IllegalStateException("clients are not served before discovery was asked");
+            throw new IllegalStateException("clients must not be served before discovery was asked");
         }
         return server.listen(
                 new ServerBootstrap()
                         .group(group)
                         .channelFactory(() ->
                                 inherited == null ? new ClientListenerChannel() : new ClientListenerChannel(inherited))
-                        .option(ChannelOption.SO_RCVBUF, READ_AHEAD_BYTES)
+                        .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
                         .option(ChannelOption.SO_BACKLOG, BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.ALLOCATOR, buffers)
                         .childOption(
                                 ChannelOption.RECVBUF_ALLOCATOR,
-                                new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, LONGEST_READ)),
+                                new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES)),
                 loop,
                 inherited == null ? config.listen() : null);
     }
 
-    /** Reads the configuration again, on any thread. */
+    /** Reloads the configuration. Can be called on any thread. */
     void reload() {
         if (peers != null) {
             try {
@@ -537,12 +555,15 @@
         configReload.signalled();
     }
 
-    /** What was done to each node in this second: the sums over all sidecars' logs show what none of them sees alone. */
+    /**
+     * Logs what was done to each node in the last second: the sums over the logs of all sidecars show what no single
+     * sidecar sees.
+     */
     private void tally() {
         double nowMs = clock.nowMs();
         pool.countIdle();
         Second second = tally.end(nowMs, Math.max(0, nowMs - tallyDueMs));
-        tallyDueMs = Math.max(tallyDueMs + TALLY_MS, nowMs);
+        tallyDueMs = Math.max(tallyDueMs + TALLY_INTERVAL_MS, nowMs);
         if (second != null) {
             log.line(second.line() + " violations=" + guard.takeViolations() + (peers == null ? "" : peers.tally()));
         }
@@ -551,11 +572,11 @@
     private void report() {
         String counts = dispatcher.counters().report();
         if (counts != null) {
-            log.line(counts + "; connections: " + server.connections() + " from the client, " + pool.open()
-                    + " to upstreams, " + pool.opened() + " opened and " + pool.spoilt() + " spoilt answers so far; "
+            log.line(counts + "; connections: " + server.connections() + " from clients, " + pool.open()
+                    + " to upstreams, " + pool.opened() + " opened and " + pool.spoilt() + " malformed answers so far; "
                     + server.evicted()
-                    + " of the client's closed as idle and " + server.turnedAway() + " requests refused for want of"
-                    + " descriptors or, when ending, of connections so far");
+                    + " client connections closed as idle and " + server.turnedAway() + " requests refused for lack of"
+                    + " descriptors or, while draining, of connections so far");
         }
         if (counts != null && promises != null) {
             log.line(promises.report());
@@ -566,10 +587,11 @@
     }
 
     /**
-     * Goes on serving what still comes, then finishes what it has taken, and ends. Blocks until then. Where it listens by
-     * itself, the client keeps using the connections that it has, and gets no new ones after a while: each that was closed
-     * early left requests without one. Where another process has the listening socket too, new connections are that one's
-     * from now on, and each answer sends its client there; what stays idle is closed late, so that no request crosses it.
+     * Keeps serving new requests for a while, completes the requests in progress, and shuts down. Blocks until then.
+     * Where this process listens by itself, clients keep using their connections and get no new ones after a while:
+     * each connection that was closed early left requests without one. Where another process has the listening socket
+     * as well, that process accepts all new connections from now on, and each answer closes its connection so that the
+     * client reconnects there. Connections that stay idle are closed late, so that no request crosses the close.
      */
     void drain() {
         finishAll();
@@ -579,8 +601,8 @@
     private void finishAll() {
         EventLoopTasks.execute(loop, this::beginDrain);
         try {
-            if (!drained.await(LONGEST_DRAIN_S, TimeUnit.SECONDS)) {
-                log.line("ending with requests in hand, " + drain);
+            if (!drained.await(DRAIN_TIMEOUT_S, TimeUnit.SECONDS)) {
+                log.line("drain: timed out with requests in progress, " + drain);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -594,36 +616,38 @@
         if (!drain.begin()) {
             return;
         }
-        log.line("told to end: " + dispatcher.unanswered() + " requests in hand; serving for "
-                + drainTimes.stopServingMs() + " ms" + (inherited == null ? "" : " what comes on open connections"));
+        log.line("drain started: " + dispatcher.unanswered() + " requests in progress; serving for "
+                + drainTimes.stopServingMs() + " ms" + (inherited == null ? "" : " on open connections"));
         if (peers != null) {
-            drain.after(0, "telling the peers", peers::draining);
+            drain.addStep(0, "notifying the peers", peers::draining);
         }
         if (inherited == null) {
-            drain.after(0, "keeping connections", server::keepConnections);
-            drain.after(drainTimes.stopListeningMs(), "closing the listener", server::stopListening);
-            drain.after(drainTimes.stopServingMs(), "ending connections with their answers", server::drain);
-            drain.finishAfter(drainTimes.stopServingMs(), () -> finished(0));
+            drain.addStep(0, "keeping client connections open", server::keepConnections);
+            drain.addStep(drainTimes.stopListeningMs(), "closing the listener", server::stopListening);
+            drain.addStep(drainTimes.stopServingMs(), "closing connections after their answers", server::drain);
+            drain.completeAfter(drainTimes.stopServingMs(), () -> finished(0));
         } else {
-            drain.after(0, "accepting no more", server::stopListening);
-            drain.after(0, "closing idle connections to upstreams", pool::keepNoneIdle);
-            drain.after(0, "ending connections with their answers", server::drain);
+            drain.addStep(0, "closing the listener", server::stopListening);
+            drain.addStep(0, "closing idle connections to upstreams", pool::keepNoneIdle);
+            drain.addStep(0, "closing connections after their answers", server::drain);
             double closeIdleMs = clock.nowMs() + (double) drainTimes.stopServingMs();
-            drain.finishAfter(0, () -> finished(closeIdleMs));
+            drain.completeAfter(0, () -> finished(closeIdleMs));
         }
-        drain.after(drainTimes.failRestMs(), "refusing what still comes", server::refuseAll);
-        drain.after(drainTimes.failRestMs(), "failing what is open", dispatcher::failOpen);
-        lookAtDrain();
-        every("end of the process", POLL_MS, this::lookAtDrain);
+        drain.addStep(drainTimes.failOpenMs(), "refusing new requests", server::refuseAll);
+        drain.addStep(drainTimes.failOpenMs(), "failing open requests", dispatcher::failOpen);
+        pollDrain();
+        every("poll of the drain", DRAIN_POLL_INTERVAL_MS, this::pollDrain);
     }
 
-    private void lookAtDrain() {
-        if (drain.look()) {
+    private void pollDrain() {
+        if (drain.poll()) {
             drained.countDown();
         }
     }
 
-    /** Ends connections on which nothing is at hand from a time on; whether nothing is in hand any more. */
+    /**
+     * Closes connections without a request from a given time on; returns whether no request is in progress any more.
+     */
     private boolean finished(double closeIdleMs) {
         if (clock.nowMs() >= closeIdleMs) {
             server.closeIdle(true);
@@ -640,8 +664,8 @@
         return true;
     }
 
-    /** Requests taken and not answered yet. */
-    int requestsInHand() {
+    /** Returns the number of requests that have been accepted and not answered yet. */
+    int requestsInProgress() {
         return CompletableFuture.supplyAsync(this::unanswered, loop).join();
     }
 
--- a/src/main/java/ivybank/daemon/Warmup.java
+++ b/src/main/java/ivybank/daemon/Warmup.java
@@ -36,27 +36,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Passes requests through a scratch copy of the request path, in memory and without sockets, before the sidecar says
- * that it is ready. Guards against the first requests of a fresh process waiting for classes to load and for code to
- * be compiled: after a restart they come all at once, and those with little time left ran out of it.
+ * Sends requests through a scratch copy of the request path, in memory and without sockets, before the sidecar reports
+ * that it is ready. Guards against slow first requests of a new process, which wait for class loading and compilation:
+ * after a restart they arrive all at once, and those with little time left exceeded their deadline.
  */
 final class Warmup {
 
-    private static final int REQUESTS = 400;
+    private static final int REQUEST_COUNT = 400;
     private static final int BODY_BYTES = 512;
-    private static final long IDLE_MS = 10_000;
+    private static final long IDLE_TIMEOUT_MS = 10_000;
     private static final int CONNECTIONS = 16;
     private static final String BUDGET_MS = "5000";
 
     private final Settings settings;
     private final Clock clock = Clock.system();
-    private final Log silent = new Log(new PrintStream(OutputStream.nullOutputStream()), clock);
+    private final Log discardingLog = new Log(new PrintStream(OutputStream.nullOutputStream()), clock);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final CountDownLatch allAnswered = new CountDownLatch(1);
     private final byte[] answer;
     private volatile int sent;
-    private int read;
+    private int receivedBytes;
 
     private Warmup(Settings settings) {
         this.settings = settings;
@@ -68,25 +68,26 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Tells whether all its requests were answered in the time that it may take. */
-    static boolean run(Settings settings, long longestMs) {
-        return new Warmup(settings).run(longestMs);
+    /** Runs the warm-up; returns whether all its requests were answered within the time limit. */
+    static boolean run(Settings settings, long maxMs) {
+        return new Warmup(settings).run(maxMs);
     }
 
-    private boolean run(long longestMs) {
-        boolean whole = false;
+    private boolean run(long maxMs) {
+        boolean complete = false;
         try {
             loop.submit(this::begin).sync();
-            whole = done.await(longestMs, TimeUnit.MILLISECONDS);
-            if (!whole) { // ready late is worse than ready cold
-                System.err.println("the warm-up was cut short after " + sent + " of " + REQUESTS + " requests");
+            complete = allAnswered.await(maxMs, TimeUnit.MILLISECONDS);
+            if (!complete) { // being ready late is worse than being ready cold
+                System.err.println(
+                        "the warm-up exceeded its time limit after " + sent + " of " + REQUEST_COUNT + " requests");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
-        return whole;
+        return complete;
     }
 
     private void begin() {
@@ -100,11 +101,11 @@
         UpstreamPool pool = new UpstreamPool(
                 loop,
                 clock,
-                UpstreamPool.Limits.withoutRest(CONNECTIONS, 1000, IDLE_MS),
+                UpstreamPool.Limits.withoutRest(CONNECTIONS, 1000, IDLE_TIMEOUT_MS),
                 descriptors,
                 new LoadReport(settings.reportFields()),
                 new Bootstrap().channel(LocalChannel.class),
-                silent);
+                discardingLog);
         RequestDispatcher dispatcher = new RequestDispatcher(
                 settings,
                 1,
@@ -113,7 +114,7 @@
                 clock,
                 new Directory(List.of(), List.of(), pool::closeIdle),
                 pool,
-                silent);
+                discardingLog);
         dispatcher.start(new HostUpdate(0, true, List.of(entry("a", upstream), entry("b", upstream))));
         LocalAddress listen = new LocalAddress("warm-up sidecar");
         new ClientServer(
@@ -123,7 +124,7 @@
                         new ClientServer.Limits(CONNECTIONS, CONNECTIONS, CONNECTIONS, CONNECTIONS),
                         descriptors,
                         null,
-                        silent)
+                        discardingLog)
                 .listen(new ServerBootstrap().group(group).channel(LocalServerChannel.class), loop, listen);
         new Bootstrap()
                 .group(loop)
@@ -149,16 +150,16 @@
         };
     }
 
-    /** Answers at once; what it turned away would make the module slow its pace. */
+    /** Answers immediately and rejects nothing: rejections would make the decision module slow its pace. */
     private final class Upstream extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf request) {
-            // Later, as over sockets: in memory it would come before the request counts as written.
+            // Deferred, as over sockets: in memory the answer would arrive before the request counts as written.
             ctx.executor().execute(() -> ctx.writeAndFlush(Unpooled.wrappedBuffer(answer)));
         }
     }
 
-    /** Sends one request after another, of each class in turn. */
+    /** Sends one request after another, cycling through the classes. */
     private final class Client extends SimpleChannelInboundHandler<ByteBuf> {
 
         @Override
@@ -168,33 +169,37 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf part) {
-            read += part.readableBytes();
+            receivedBytes += part.readableBytes();
         }
 
-        /** The sidecar writes an answer whole, so that it has come when what could be read has been. */
+        /**
+         * Sends the next request. The sidecar writes an answer as a whole, so that it is complete when all readable
+         * bytes have been read.
+         */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (read < BODY_BYTES) {
+            if (receivedBytes < BODY_BYTES) {
                 return;
             }
-            read = 0;
-            if (sent < REQUESTS) {
+            receivedBytes = 0;
+            if (sent < REQUEST_COUNT) {
                 next(ctx);
             } else {
                 ctx.close();
-                done.countDown();
+                allAnswered.countDown();
             }
         }
 
-        @SuppressWarnings("NonAtomicVolatileUpdate") // only this connection's event loop writes it
+        @SuppressWarnings("NonAtomicVolatileUpdate") // only the event loop of this connection writes it
         private void next(ChannelHandlerContext ctx) {
-            RequestClass spec = settings.classes().get(sent % settings.classes().size());
+            RequestClass requestClass =
+                    settings.classes().get(sent % settings.classes().size());
             sent++;
-            boolean safe = spec.effect() == Effect.SAFE;
-            String head =
-                    (safe ? "GET /" : "POST /") + spec.name() + "?obj=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: warm-up\r\n"
-                            + "X-Call-Id: " + sent + "\r\nX-Budget-Ms: " + BUDGET_MS + "\r\n"
-                            + (safe ? "\r\n" : "Content-Length: " + BODY_BYTES + "\r\n\r\n" + "x".repeat(BODY_BYTES));
+            boolean safe = requestClass.effect() == Effect.SAFE;
+            String head = (safe ? "GET /" : "POST /") + requestClass.name()
+                    + "?obj=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: warm-up\r\n"
+                    + "X-Call-Id: " + sent + "\r\nX-Budget-Ms: " + BUDGET_MS + "\r\n"
+                    + (safe ? "\r\n" : "Content-Length: " + BODY_BYTES + "\r\n\r\n" + "x".repeat(BODY_BYTES));
             ctx.writeAndFlush(Unpooled.copiedBuffer(head, StandardCharsets.US_ASCII));
         }
     }
--- a/src/main/java/ivybank/daemon/package-info.java
+++ b/src/main/java/ivybank/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** Wiring of the sidecar: configuration, the driver of the decision module, start and end of the process. */
+/** The sidecar process: its configuration, its wiring, the dispatcher of requests, and its start and shutdown. */
 package ivybank.daemon;
--- a/src/main/java/ivybank/operations/MaintenanceState.java
+++ b/src/main/java/ivybank/operations/MaintenanceState.java
@@ -5,70 +5,78 @@
 import java.util.TreeMap;
 
 /**
- * What operators have ordered: the nodes that are out, by their ids, with when they were taken out, and since when the
- * sidecar stands by (0: it does not). Times are Unix time in milliseconds. Immutable; an order that changes nothing gives
- * the same object back.
+ * The maintenance state ordered by operators: the nodes in maintenance, by id, with the time at which each was taken
+ * out, and the time since which the sidecar is on standby (0 if it is not). Times are Unix time in milliseconds.
+ * Immutable; a change without effect returns the same object.
  */
-public record MaintenanceState(SortedMap<String, Double> out, double standbySinceMs) {
+public record MaintenanceState(SortedMap<String, Double> nodesInMaintenance, double standbySinceMs) {
 
+    /** The state without any order. */
     public static final MaintenanceState NONE = new MaintenanceState(Collections.emptySortedMap(), 0);
-    /** More than any fleet has: what comes from outside is bounded. */
-    public static final int MOST_OUT = 4096;
+    /** Limits how many nodes can be in maintenance: above the size of any fleet, and bounds external input. */
+    public static final int MAX_NODES_IN_MAINTENANCE = 4096;
 
     public MaintenanceState {
-        out = Collections.unmodifiableSortedMap(new TreeMap<>(out));
+        nodesInMaintenance = Collections.unmodifiableSortedMap(new TreeMap<>(nodesInMaintenance));
     }
 
-    /** Takes a node out; one that is out already stays so since then, and one call back is enough for both calls. */
-    public MaintenanceState takeOut(String node, double nowMs) {
-        if (out.containsKey(node) || out.size() >= MOST_OUT) {
+    /** Puts a node into maintenance. A node that already is keeps its time, and a single exit ends both orders. */
+    public MaintenanceState enterMaintenance(String node, double nowMs) {
+        if (nodesInMaintenance.containsKey(node) || nodesInMaintenance.size() >= MAX_NODES_IN_MAINTENANCE) {
             return this;
         }
-        SortedMap<String, Double> next = new TreeMap<>(out);
+        SortedMap<String, Double> next = new TreeMap<>(nodesInMaintenance);
         next.put(node, nowMs);
         return new MaintenanceState(next, standbySinceMs);
     }
 
-    public MaintenanceState callBack(String node) {
-        if (!out.containsKey(node)) {
+    /** Ends the maintenance of a node. */
+    public MaintenanceState exitMaintenance(String node) {
+        if (!nodesInMaintenance.containsKey(node)) {
             return this;
         }
-        SortedMap<String, Double> next = new TreeMap<>(out);
+        SortedMap<String, Double> next = new TreeMap<>(nodesInMaintenance);
         next.remove(node);
         return new MaintenanceState(next, standbySinceMs);
     }
 
-    /** Sends clients away; since the first such order, if there was one before. */
-    public MaintenanceState standBy(double nowMs) {
-        return standsBy() ? this : new MaintenanceState(out, nowMs);
+    /** Puts the sidecar on standby; keeps the time of an earlier standby order that still holds. */
+    public MaintenanceState enterStandby(double nowMs) {
+        return isOnStandby() ? this : new MaintenanceState(nodesInMaintenance, nowMs);
     }
 
-    public MaintenanceState activate() {
-        return standsBy() ? new MaintenanceState(out, 0) : this;
+    /** Ends the standby of the sidecar. */
+    public MaintenanceState exitStandby() {
+        return isOnStandby() ? new MaintenanceState(nodesInMaintenance, 0) : this;
     }
 
     /**
-     * The same orders with the times at which this process saw them: those on file are of another process's clock, which may
-     * have been stepped since.
+     * Returns the same state with the times at which this process observed each order. The times on file come from the
+     * clock of another process, which may have been stepped since.
      *
-     * @param before the orders before
-     * @param beforeSeen the same with the times at which this process saw them
+     * @param before the previous state on file
+     * @param beforeObserved the previous state with the times at which this process observed it
+     * @param nowMs the current time of this process
      */
-    public MaintenanceState asSeen(MaintenanceState before, MaintenanceState beforeSeen, double nowMs) {
-        SortedMap<String, Double> outSeen = new TreeMap<>();
-        out.forEach((node, sinceMs) -> outSeen.put(
+    public MaintenanceState withObservedTimes(MaintenanceState before, MaintenanceState beforeObserved, double nowMs) {
+        SortedMap<String, Double> observedMaintenance = new TreeMap<>();
+        nodesInMaintenance.forEach((node, sinceMs) -> observedMaintenance.put(
                 node,
-                sinceMs.equals(before.out.get(node)) ? beforeSeen.out.getOrDefault(node, nowMs) : (Double) nowMs));
+                sinceMs.equals(before.nodesInMaintenance.get(node))
+                        ? beforeObserved.nodesInMaintenance.getOrDefault(node, nowMs)
+                        : (Double) nowMs));
         boolean sameStandby = standbySinceMs == before.standbySinceMs;
-        double standbySeenMs = !standsBy() ? 0 : sameStandby ? beforeSeen.standbySinceMs : nowMs;
-        return new MaintenanceState(outSeen, standbySeenMs);
+        double observedStandbyMs = !isOnStandby() ? 0 : sameStandby ? beforeObserved.standbySinceMs : nowMs;
+        return new MaintenanceState(observedMaintenance, observedStandbyMs);
     }
 
-    public boolean standsBy() {
+    /** Returns whether the sidecar is on standby. */
+    public boolean isOnStandby() {
         return standbySinceMs > 0;
     }
 
-    public boolean isOut(String node) {
-        return out.containsKey(node);
+    /** Returns whether the node is in maintenance. */
+    public boolean isInMaintenance(String node) {
+        return nodesInMaintenance.containsKey(node);
     }
 }
--- a/src/main/java/ivybank/operations/package-info.java
+++ b/src/main/java/ivybank/operations/package-info.java
@@ -1,2 +1,2 @@
-/** Operators' orders and what follows from them; no input, output or clock. */
+/** Maintenance state ordered by operators and the behaviour that follows from it; without I/O and clock. */
 package ivybank.operations;
--- a/src/test/java/ivybank/daemon/BeginningsAndEndingsTest.java
+++ b/src/test/java/ivybank/daemon/BeginningsAndEndingsTest.java
@@ -123,7 +123,7 @@
         FakeServer node = FakeServer.answering(FakeServer.OK);
         CountDownLatch halted = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        options.lines = HaltingLines.at("told to end", halted, go);
+        options.lines = HaltingLines.at("drain started", halted, go);
         options.drainTimes = new DrainTimes(1, 2000, 3000);
         try (node;
                 SidecarRig rig =
@@ -160,7 +160,7 @@
                 clients.add(rig.client().write(SidecarRig.submit("u" + i, 2) + "ab"));
             }
             Client idle = rig.client();
-            while (rig.sidecar.requestsInHand() < 6) {
+            while (rig.sidecar.requestsInProgress() < 6) {
                 Thread.sleep(2);
             }
             long from = System.nanoTime();
--- a/src/test/java/ivybank/daemon/DepartedClientTest.java
+++ b/src/test/java/ivybank/daemon/DepartedClientTest.java
@@ -97,7 +97,7 @@
     private static Look oneLook(SidecarRig rig) throws InterruptedException {
         long fromNanos = System.nanoTime();
         Thread.sleep(1);
-        int inHand = rig.sidecar.requestsInHand();
+        int inHand = rig.sidecar.requestsInProgress();
         return new Look(
                 inHand, Math.min(System.nanoTime() - fromNanos, TimeUnit.MILLISECONDS.toNanos(LONGEST_LOOK_MS)));
     }
@@ -248,7 +248,7 @@
             for (int i = 0; i < 40; i++) {
                 clients.put("r" + i, rig.client().write(SidecarRig.read("r" + i)));
             }
-            while (rig.sidecar.requestsInHand() < clients.size()) {
+            while (rig.sidecar.requestsInProgress() < clients.size()) {
                 Thread.sleep(1);
             }
             awaitPasses(rig);
@@ -261,7 +261,7 @@
             }
             awaitBound(rig);
             left.countDown();
-            while (rig.sidecar.requestsInHand() > 0) {
+            while (rig.sidecar.requestsInProgress() > 0) {
                 Thread.sleep(1);
             }
             Thread.sleep(SENT_MS);
@@ -376,7 +376,7 @@
         try (LateListener node = new LateListener();
                 SidecarRig rig = rig(host("s-1", node.address()), false)) {
             rig.client().write(SidecarRig.read("waits"));
-            while (rig.sidecar.requestsInHand() == 0) {
+            while (rig.sidecar.requestsInProgress() == 0) {
                 Thread.sleep(1);
             }
             long waitsNanos = System.nanoTime();
--- a/src/test/java/ivybank/daemon/HeldUpLoopTest.java
+++ b/src/test/java/ivybank/daemon/HeldUpLoopTest.java
@@ -47,7 +47,7 @@
 
     @BeforeEach
     void halts() {
-        options.lines = HaltingLines.at("told to read the configuration again", halted, go);
+        options.lines = HaltingLines.at("reloading the configuration", halted, go);
     }
 
     private void halt(SidecarRig rig) throws InterruptedException {
@@ -162,7 +162,7 @@
                 SidecarRig rig = new SidecarRig(
                         dir, FakeServer.nobody(), SidecarRig.host("s-1", node.address(), "Ready"), options)) {
             Client client = rig.client().write(SidecarRig.submit("a", 5) + "hello");
-            while (rig.sidecar.requestsInHand() == 0) {
+            while (rig.sidecar.requestsInProgress() == 0) {
                 Thread.sleep(1);
             }
             halt(rig);
--- a/src/test/java/ivybank/daemon/PromiseKeeperTest.java
+++ b/src/test/java/ivybank/daemon/PromiseKeeperTest.java
@@ -212,7 +212,7 @@
                         .write(("POST /submit HTTP/1.1\r\nHost: x\r\nX-Call-Id: j" + i
                                         + "\r\nX-Budget-Ms: 6000\r\nX-Event: same\r\nContent-Length: 2\r\n\r\n{}")
                                 .getBytes(StandardCharsets.US_ASCII));
-                while (sidecar.requestsInHand() == 0) {
+                while (sidecar.requestsInProgress() == 0) {
                     Thread.sleep(2);
                 }
                 Thread.sleep(50); // the second joins
@@ -221,7 +221,7 @@
                 client.close();
             }
             Thread.sleep(300);
-            assertEquals(0, sidecar.requestsInHand());
+            assertEquals(0, sidecar.requestsInProgress());
             node.letIn();
             Socket late = node.next(2000);
             if (late != null) {
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -104,12 +104,12 @@
         start(FakeServer.nobody(), String.join(",", hosts), 300);
         sidecar.handOver(folder);
         MemoryFiles other = new MemoryFiles(folder, 1, said -> {});
-        sidecar.company(true);
+        sidecar.siblingPresent(true);
         leave(other, 55);
         assertRefused(2, 10 + 2);
         leave(other, 50);
         assertRefused(1, 5 + 1);
-        sidecar.company(false);
+        sidecar.siblingPresent(false);
         Thread.sleep(200); // the files are looked at each 50 ms
         assertRefused(0, 5);
     }
--- a/src/test/java/ivybank/daemon/SidecarEndTest.java
+++ b/src/test/java/ivybank/daemon/SidecarEndTest.java
@@ -107,16 +107,16 @@
     @Test
     void servesAfterTheSignalToEndForAsLongAsItCanAnswer() throws Exception {
         DrainTimes times = longestDrainTimes("6000", "2400", "5000", "800", "1500", "600");
-        assertEquals(2400 + 700 - 200, times.failRestMs());
-        assertEquals(times.failRestMs() - 240, times.stopServingMs());
+        assertEquals(2400 + 700 - 200, times.failOpenMs());
+        assertEquals(times.failOpenMs() - 240, times.stopServingMs());
     }
 
     @Test
     void withShortDeadlinesTheListenerClosesWhileWhatItTookLastCanStillBeAnswered() throws Exception {
         DrainTimes times = longestDrainTimes(":6000", ":100", ":5000", ":100", ":1500", ":80");
-        assertEquals(100 + 700 - 200, times.failRestMs());
+        assertEquals(100 + 700 - 200, times.failOpenMs());
         assertTrue(
-                times.stopListeningMs() <= times.failRestMs() - 30 && times.stopListeningMs() >= 450, times.toString());
+                times.stopListeningMs() <= times.failOpenMs() - 30 && times.stopListeningMs() >= 450, times.toString());
         assertTrue(times.stopServingMs() >= times.stopListeningMs());
     }
 
--- a/src/test/java/ivybank/rehearsal/MutantsTest.java
+++ b/src/test/java/ivybank/rehearsal/MutantsTest.java
@@ -259,7 +259,7 @@
                     List.of(new Edit(
                             "daemon/RequestDispatcher.java",
                             "            counters.failed++;\n            answer(exchange,"
-                                    + " Answer.status(FAILED));\n        }\n    }\n\n    @Override\n    public void cancel",
+                                    + " Answer.status(BAD_GATEWAY));\n        }\n    }\n\n    @Override\n    public void cancel",
                             "            counters.failed++;\n            answer(exchange, Answer.refused(0));\n        }\n    }\n\n"
                                     + "    @Override\n    public void cancel"))),
             new Mutant(
@@ -270,7 +270,7 @@
                             "daemon/RequestDispatcher.java",
                             "            answer(exchange, Answer.refused(retryAfterMs));",
                             "            schedule(exchange.deadlineMs - clock.nowMs() - 200, () -> {\n"
-                                    + "                if (!exchange.over) {\n"
+                                    + "                if (!exchange.closed) {\n"
                                     + "                    answer(exchange, Answer.refused(retryAfterMs));\n"
                                     + "                }\n            });"))),
             new Mutant(
@@ -325,7 +325,7 @@
                     List.of("rule drain"),
                     List.of(
                             new Edit("daemon/Sidecar.java", "discovery::moveTo", "next -> {}"),
-                            new Edit("daemon/ConfigFile.java", "return now;", "return null;"))),
+                            new Edit("daemon/ConfigFile.java", "return current;", "return null;"))),
             new Mutant(
                     "waits for a silent node for ever",
                     Night.SILENT,
@@ -334,8 +334,8 @@
                             new Edit("upstream/UpstreamAttempt.java", "() -> stop(Outcome.TIMEOUT)", "() -> ended()"),
                             new Edit(
                                     "daemon/RequestDispatcher.java",
-                                    "        if (!exchange.over) {\n            counters.expired++;",
-                                    "        if (exchange.over) {\n            counters.expired++;"))),
+                                    "        if (!exchange.closed) {\n            counters.expired++;",
+                                    "        if (exchange.closed) {\n            counters.expired++;"))),
             new Mutant(
                     "leaves rude clients without an answer",
                     Night.RUDE,
