--- a/src/main/java/ivybank/Main.java
+++ b/src/main/java/ivybank/Main.java
@@ -8,14 +8,17 @@
 import java.io.IOException;
 
 /**
- * The two hosts of the decision module: {@code serve} is a real sidecar on sockets, {@code simhost} plays the
- * simulator's wire on standard input and output. All else is the command line's.
+ * The entry point. {@code serve} runs a sidecar on sockets and {@code simhost} runs the decision module on the
+ * simulator's protocol over standard input and output; everything else goes to the command line interface.
  */
 public final class Main {
 
     private Main() {}
 
-    /** The two hosts take a short cut past the command line: a restart has half a core. */
+    /**
+     * Starts a host or the command line interface. Both hosts bypass the command line parser, because a restarting
+     * sidecar has only half a core.
+     */
     public static void main(String[] args) {
         ProcessAge.sinceFirstLineMs();
         String host = args.length == 0 ? "" : args[0];
--- a/src/main/java/ivybank/cli/CheckCommand.java
+++ b/src/main/java/ivybank/cli/CheckCommand.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code ivybank check}: reads what operators write, and says whether it can be used. */
-@Command(name = "check", mixinStandardHelpOptions = true, description = "Reads a file and says whether it can be used.")
+/** {@code ivybank check}: validates files that operators write. */
+@Command(name = "check", mixinStandardHelpOptions = true, description = "Validates a file.")
 final class CheckCommand implements Runnable {
 
     @CommandLine.Spec
@@ -16,17 +16,17 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what to check is missing: operator FILE");
+        throw new CommandLine.ParameterException(spec.commandLine(), "the subcommand is missing: operator FILE");
     }
 
     @Command(
             name = "operator",
             mixinStandardHelpOptions = true,
-            description = "An operator file, as serve --operator takes it.")
+            description = "Validates an operator file, as given to serve --operator.")
     int operator(@Parameters(paramLabel = "FILE") Path file) throws InputException {
-        OperatorFile read = OperatorFile.read(file);
-        System.out.println(file + ": good; discovery " + read.discovery()
-                + (read.store() == null ? "; nothing is kept on disk" : "; " + read.store()));
+        OperatorFile operatorFile = OperatorFile.read(file);
+        System.out.println(file + ": good; discovery " + operatorFile.discovery()
+                + (operatorFile.store() == null ? "; no store" : "; " + operatorFile.store()));
         return 0;
     }
 }
--- a/src/main/java/ivybank/cli/FleetCommand.java
+++ b/src/main/java/ivybank/cli/FleetCommand.java
@@ -19,44 +19,47 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code ivybank fleet}: what all sidecars together did, from their logs. */
+/** {@code ivybank fleet}: summarises what all sidecars together did, and compares their views of the fleet. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        description = "What all sidecars together did, from their logs, and what they see of one another.")
+        description =
+                "Summarises what all sidecars together did, from their logs, and compares their views of the fleet.")
 final class FleetCommand implements Runnable {
 
-    private static final int WORST_NODES = 10;
-    private static final int DOOR_MS = 2000;
+    private static final int MAX_WORST_NODES = 10;
+    private static final int ADMIN_CALL_TIMEOUT_MS = 2000;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what to do is missing: sum LOGS or view URL...");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "the subcommand is missing: sum LOGS or view URL...");
     }
 
     @Command(
             name = "sum",
             mixinStandardHelpOptions = true,
             description =
-                    "Adds up the counts by second and node in a folder of logs, one file NAME.log for each sidecar.")
+                    "Adds up the counts per second and node from a folder of logs, with one file NAME.log per sidecar.")
     int sum(
             @Parameters(paramLabel = "LOGS") Path folder,
             @Option(
                             names = "--against",
                             paramLabel = "LOGS",
-                            description = "another folder: which figures grew out of proportion")
+                            description =
+                                    "another folder to compare with: shows the figures that grew out of proportion")
                     Path other,
             @Option(
                             names = "--fault",
                             paramLabel = "UNIX_S",
                             split = ",",
-                            description = "instants of faults: how long each time until as much was"
-                                    + " served of what was taken as in the 5 s before")
+                            description = "times of faults: shows for each how long it took until the served share"
+                                    + " of the requests was back at its value of the 5 s before")
                     List<Double> faults,
-            @Option(names = "--json", description = "as JSON") boolean json)
+            @Option(names = "--json", description = "prints JSON") boolean json)
             throws IOException, InputException {
         FleetSum sum = read(folder);
         FleetSum before = other == null ? null : read(other);
@@ -88,9 +91,9 @@
                     Locale.ROOT, "%12.1f  s to full service after %.0f", sum.toFullService(fault), fault)));
         }
         System.out.println("\nnodes with the most attempts timed out:");
-        sum.mostTimedOut(WORST_NODES).forEach(System.out::println);
+        sum.mostTimedOut(MAX_WORST_NODES).forEach(System.out::println);
         if (sum.leftOut() > 0) {
-            System.out.println(sum.leftOut() + " lines were damaged or of another time and are left out");
+            System.out.println(sum.leftOut() + " lines were malformed or of another period and are left out");
         }
         if (before != null) {
             System.out.println("\nout of proportion against " + other + ":");
@@ -103,39 +106,43 @@
             name = "view",
             mixinStandardHelpOptions = true,
             description =
-                    "Asks several sidecars' doors what they see of one another, and shows where they differ (marked *). Exit code 1 where they do.")
+                    "Compares the views of the fleet of several sidecars, read from their admin endpoints; differences are marked *. Exits with 1 if they differ.")
     int view(
             @Parameters(
                             paramLabel = "URL",
                             arity = "1..*",
-                            description = "a sidecar's door, such as http://127.0.0.1:7071")
-                    List<String> doors)
+                            description = "a sidecar's admin endpoint, such as http://127.0.0.1:7071")
+                    List<String> endpoints)
             throws InputException {
-        List<ViewTable.Asked> asked = new ArrayList<>();
-        for (String door : doors) {
-            asked.add(new ViewTable.Asked(door, ask(door)));
+        List<ViewTable.Reply> replies = new ArrayList<>();
+        for (String endpoint : endpoints) {
+            replies.add(new ViewTable.Reply(endpoint, ask(endpoint)));
         }
-        ViewTable table = new ViewTable(asked);
+        ViewTable table = new ViewTable(replies);
         table.lines().forEach(System.out::println);
-        return table.alike() ? 0 : Ivybank.FAILED;
+        return table.isConsistent() ? 0 : Ivybank.EXIT_FAILED;
     }
 
-    private static JsonNode ask(String door) throws InputException {
+    private static JsonNode ask(String endpoint) throws InputException {
         try {
-            return FleetViewClient.ask((door.contains("://") ? door : "http://" + door).replaceAll("/+$", ""), DOOR_MS);
+            return FleetViewClient.ask(
+                    (endpoint.contains("://") ? endpoint : "http://" + endpoint).replaceAll("/+$", ""),
+                    ADMIN_CALL_TIMEOUT_MS);
         } catch (IllegalArgumentException e) {
-            throw new InputException(door + ": is no door's address; allowed is http://HOST:PORT");
+            throw new InputException(
+                    endpoint + ": is not the address of an admin endpoint; http://HOST:PORT is allowed");
         }
     }
 
     private static FleetSum read(Path folder) throws IOException, InputException {
         if (!Files.isDirectory(folder)) {
-            throw new InputException(folder + ": is no folder; allowed is one with a file NAME.log for each sidecar");
+            throw new InputException(
+                    folder + ": is not a folder; a folder with one file NAME.log per sidecar is allowed");
         }
         FleetSum sum = LogFolder.sum(folder);
         if (sum.sidecars() == 0) {
-            throw new InputException(folder
-                    + ": no log in it has a line of counts ('tally at=...'); sidecars write one for each second");
+            throw new InputException(
+                    folder + ": no log in it has a line of counts ('tally at=...'); sidecars write one per second");
         }
         return sum;
     }
--- a/src/main/java/ivybank/cli/Ivybank.java
+++ b/src/main/java/ivybank/cli/Ivybank.java
@@ -6,14 +6,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
 
-/** The command line beside the two hosts, which {@code Main} starts without it. */
+/** The command line interface. {@code Main} starts the two hosts, {@code serve} and {@code simhost}, without it. */
 @Command(
         name = "ivybank",
         mixinStandardHelpOptions = true,
         versionProvider = Ivybank.Version.class,
-        description = "A sidecar load balancer, and a kit to rehearse its bad nights.",
+        description = "A sidecar load balancer, and a kit to rehearse its behaviour under faults.",
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:good", "1:the check or the rehearsal failed", "2:wrong use, or an input that can't be used"},
+        exitCodeList = {"0:success", "1:the check or the rehearsal failed", "2:wrong usage, or unusable input"},
         subcommands = {
             RehearseCommand.class,
             CheckCommand.class,
@@ -27,8 +27,8 @@
         })
 public final class Ivybank implements Runnable {
 
-    static final int FAILED = 1;
-    static final int UNUSABLE = 2;
+    static final int EXIT_FAILED = 1;
+    static final int EXIT_UNUSABLE_INPUT = 2;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -39,7 +39,7 @@
         line.setExecutionExceptionHandler((e, command, parsed) -> {
             PrintWriter err = command.getErr();
             err.println("ivybank: " + (e instanceof InputException ? e.getMessage() : e.toString()));
-            return e instanceof InputException ? UNUSABLE : FAILED;
+            return e instanceof InputException ? EXIT_UNUSABLE_INPUT : EXIT_FAILED;
         });
         return line.execute(args);
     }
@@ -49,11 +49,11 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** Here for the help alone. */
+    /** Listed for the help only; {@code Main} runs the command. */
     @Command(
             name = "serve",
-            description = "One sidecar, as EDGE_CONFIG says. With --operator FILE, or EDGE_OPERATOR,"
-                    + " it takes an operator file too.")
+            description = "Runs one sidecar, configured by EDGE_CONFIG. With --operator FILE, or EDGE_OPERATOR,"
+                    + " it reads an operator file as well.")
     static final class Serve implements Runnable {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -64,8 +64,10 @@
         }
     }
 
-    /** Here for the help alone. */
-    @Command(name = "simhost", description = "The decisions on the simulator's wire, on standard input and output.")
+    /** Listed for the help only; {@code Main} runs the command. */
+    @Command(
+            name = "simhost",
+            description = "Runs the decision module on the simulator's protocol, over standard input and output.")
     static final class SimHost implements Runnable {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -76,6 +78,7 @@
         }
     }
 
+    /** Prints the version of the packaged jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/ivybank/cli/OverheadCommand.java
+++ b/src/main/java/ivybank/cli/OverheadCommand.java
@@ -22,17 +22,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code rehearse overhead}: what a sidecar adds to the time of a call. */
+/** {@code rehearse overhead}: measures the latency that a sidecar adds to a call. */
 @Command(
         name = "overhead",
         mixinStandardHelpOptions = true,
-        description = "Measures what a sidecar adds to a call: direct against through it, in the same run.")
+        description =
+                "Measures the latency that a sidecar adds to a call: direct calls against calls through it, in the same run.")
 final class OverheadCommand implements Callable<Integer> {
 
-    private static final double HELD = 0.99; // of the requests through the sidecar served: the rate is held
-    private static final double STEP = 1.25;
+    /** The served fraction of the requests through the sidecar from which on a rate counts as sustained. */
+    private static final double MIN_SERVED_FRACTION = 0.99;
+
+    private static final double RATE_STEP_FACTOR = 1.25;
     private static final int WARM_UP_REQUESTS = 300;
-    private static final int NET = 231;
+    private static final int LOOPBACK_NET = 231;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -42,7 +45,7 @@
             paramLabel = "N",
             defaultValue = "61,200,600,2000",
             split = ",",
-            description = "requests a second through the sidecar, and as many direct ones (default ${DEFAULT-VALUE})")
+            description = "requests per second through the sidecar, and as many direct ones (default ${DEFAULT-VALUE})")
     private List<Double> rates;
 
     @Option(
@@ -50,7 +53,7 @@
             paramLabel = "N",
             defaultValue = "8,25,100",
             split = ",",
-            description = "how many nodes there are (default ${DEFAULT-VALUE})")
+            description = "the number of nodes (default ${DEFAULT-VALUE})")
     private List<Integer> nodes;
 
     @Option(
@@ -59,7 +62,7 @@
             defaultValue = "rest",
             split = ",",
             description =
-                    "what happens meanwhile: rest, list-change, sighup, hanging-node, bad-answers, second-answers, collection "
+                    "the disturbance during the run: rest, list-change, sighup, hanging-node, bad-answers, second-answers, collection "
                             + "(default ${DEFAULT-VALUE})")
     private List<String> scenarios;
 
@@ -67,46 +70,50 @@
             names = "--most",
             paramLabel = "N",
             defaultValue = "0",
-            description = "goes on from the last rate by steps of a quarter, up to this one or the last that is held")
-    private double most;
+            description = "raises the last rate by steps of a quarter, up to this one or the last sustained one")
+    private double maxRate;
 
-    @Option(names = "--runs", paramLabel = "N", defaultValue = "1", description = "of each setting; medians are told")
+    @Option(
+            names = "--runs",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "runs of each setting; medians are reported")
     private int runs;
 
     @Option(
             names = "--seconds",
             paramLabel = "N",
             defaultValue = "15",
-            description = "measured in each run, after its warm-up (default ${DEFAULT-VALUE})")
+            description = "measured seconds of each run, after its warm-up (default ${DEFAULT-VALUE})")
     private double seconds;
 
     @Option(
             names = "--warm-up",
             paramLabel = "N",
             defaultValue = "5",
-            description = "seconds left out at the start of each run, or the time of " + WARM_UP_REQUESTS
+            description = "seconds excluded at the start of each run, or the time of " + WARM_UP_REQUESTS
                     + " requests through the sidecar if that is longer (default ${DEFAULT-VALUE})")
     private double warmUpS;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "of the arrivals")
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "the seed of the arrivals")
     private long seed;
 
-    @Option(names = "--sidecar", paramLabel = "COMMAND", description = "as with run")
+    @Option(names = "--sidecar", paramLabel = "COMMAND", description = "as for run")
     private String command;
 
     @Option(
             names = "--bare-relay",
             description =
-                    "measures a process in the sidecar's place that only passes bytes on: the least that a hop costs here")
+                    "replaces the sidecar by a process that only forwards bytes: the minimum cost of a hop on this machine")
     private boolean bareRelay;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "writes the report as JSON too")
+    @Option(names = "--json", paramLabel = "FILE", description = "also writes the report as JSON")
     private Path json;
 
-    @Option(names = "--plot", paramLabel = "FILE", description = "writes the percentiles as a picture too (PNG)")
+    @Option(names = "--plot", paramLabel = "FILE", description = "also writes the percentiles as a PNG image")
     private Path plot;
 
-    /** 0; or 1 if a setting has no run that isn't void. */
+    /** Returns 0, or 1 if a setting has no valid run. */
     @Override
     public Integer call() throws InputException, IOException, InterruptedException {
         List<Disturbance> disturbances = check();
@@ -124,7 +131,7 @@
         if (plot != null) {
             PercentilePlot.write(cells, plot);
         }
-        return cells.stream().anyMatch(cell -> cell.valid().isEmpty()) ? Ivybank.FAILED : 0;
+        return cells.stream().anyMatch(cell -> cell.valid().isEmpty()) ? Ivybank.EXIT_FAILED : 0;
     }
 
     private List<Disturbance> check() {
@@ -142,16 +149,18 @@
         }
     }
 
-    /** All rates of one setting, on one sidecar. */
+    /** Measures all rates of one setting on one sidecar. */
     private List<OverheadCell> measure(Disturbance disturbance, int count)
             throws InputException, IOException, InterruptedException {
         Path state = Files.createTempDirectory("ivybank-overhead");
         Overhead.Setup setup = new Overhead.Setup(
                 Scenarios.find("calm"),
-                bareRelay ? RehearseCommand.java(BareRelay.class.getName()) : RehearseCommand.sidecar(command),
+                bareRelay
+                        ? RehearseCommand.javaCommand(BareRelay.class.getName())
+                        : RehearseCommand.sidecarCommand(command),
                 Path.of("").toAbsolutePath(),
                 state,
-                NET,
+                LOOPBACK_NET,
                 count,
                 disturbance);
         List<OverheadCell> cells = new ArrayList<>();
@@ -160,30 +169,30 @@
                 cells.add(measure(overhead, rate, setup));
             }
             double rate = rates.get(rates.size() - 1);
-            while (rate * STEP <= most && held(cells.get(cells.size() - 1))) {
-                rate *= STEP;
+            while (rate * RATE_STEP_FACTOR <= maxRate && isSustained(cells.get(cells.size() - 1))) {
+                rate *= RATE_STEP_FACTOR;
                 cells.add(measure(overhead, rate, setup));
             }
         }
-        RehearseCommand.remove(state);
+        RehearseCommand.deleteRecursively(state);
         return cells;
     }
 
     private OverheadCell measure(Overhead overhead, double rate, Overhead.Setup setup) throws IOException {
         Overhead.Length length = new Overhead.Length(new WarmUpRule(warmUpS, WARM_UP_REQUESTS), seconds, seed);
-        List<OverheadRun> played = new ArrayList<>();
+        List<OverheadRun> finishedRuns = new ArrayList<>();
         for (int i = 0; i < runs; i++) {
-            played.add(overhead.play(rate, length));
-            OverheadCell soFar = new OverheadCell(rate, setup.nodes(), setup.disturbance(), played);
-            OverheadReport.print(System.out, soFar, played.get(i));
+            finishedRuns.add(overhead.play(rate, length));
+            OverheadCell soFar = new OverheadCell(rate, setup.nodes(), setup.disturbance(), finishedRuns);
+            OverheadReport.print(System.out, soFar, finishedRuns.get(i));
             if (setup.disturbance() == Disturbance.SECOND_ANSWERS) {
                 System.out.println("  nodes, all runs so far: " + overhead.secondAnswers());
             }
         }
-        return new OverheadCell(rate, setup.nodes(), setup.disturbance(), played);
+        return new OverheadCell(rate, setup.nodes(), setup.disturbance(), finishedRuns);
     }
 
-    private static boolean held(OverheadCell cell) {
-        return cell.runs().stream().allMatch(run -> run.measured().servedPart(Route.THROUGH) >= HELD);
+    private static boolean isSustained(OverheadCell cell) {
+        return cell.runs().stream().allMatch(run -> run.measured().servedPart(Route.THROUGH) >= MIN_SERVED_FRACTION);
     }
 }
--- a/src/main/java/ivybank/cli/PromisesCommand.java
+++ b/src/main/java/ivybank/cli/PromisesCommand.java
@@ -13,11 +13,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code ivybank promises}: which requests are on record, and how to clear one, while no daemon holds the folder. */
+/** {@code ivybank promises}: lists the requests on record in a store that no daemon holds, and clears one of them. */
 @Command(
         name = "promises",
         mixinStandardHelpOptions = true,
-        description = "Requests on record in the folder of a store, while no daemon holds it.")
+        description = "Lists and clears the requests on record in the folder of a store that no daemon holds.")
 final class PromisesCommand implements Runnable {
 
     @CommandLine.Spec
@@ -25,55 +25,56 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "one of list and clear is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "the subcommand is missing: list or clear");
     }
 
     @Command(
             name = "list",
             mixinStandardHelpOptions = true,
-            description = "A line for each: state, since when, class, name.")
+            description = "Prints a line per request: state, time, class, name.")
     int list(
             @Parameters(paramLabel = "DIR") Path folder,
-            @Option(names = "--in-doubt", description = "only those that may have run and have no answer")
+            @Option(names = "--in-doubt", description = "only requests that may have run and have no answer")
                     boolean inDoubt)
             throws IOException, InputException {
         try {
-            for (PromiseFolder.Kept kept : PromiseFolder.list(StoreCommand.take(folder), StoreCommand.STANDARD)) {
+            for (PromiseFolder.Kept kept :
+                    PromiseFolder.list(StoreCommand.open(folder), StoreCommand.INSPECTION_LIMITS)) {
                 if (!inDoubt || kept.state() == State.IN_DOUBT) {
                     System.out.printf(
                             "%-8s  %s  %s  %s%n",
                             kept.state().name().toLowerCase(Locale.ROOT).replace('_', '-'),
                             Instant.ofEpochMilli((long) kept.atMs()),
                             kept.requestClass().isEmpty() ? "-" : kept.requestClass(),
-                            kept.name().isEmpty() ? "(no name was given)" : kept.name());
+                            kept.name().isEmpty() ? "(unnamed)" : kept.name());
                 }
             }
             return 0;
         } catch (StoreException e) {
             System.err.println("ivybank: " + folder + ": " + e.getMessage());
-            return Ivybank.FAILED;
+            return Ivybank.EXIT_FAILED;
         }
     }
 
     @Command(
             name = "clear",
             mixinStandardHelpOptions = true,
-            description = "Forgets one, so that the same request is new.")
+            description = "Forgets a request, so that the same request counts as new.")
     int clear(
             @Parameters(paramLabel = "DIR") Path folder,
             @Parameters(paramLabel = "CLASS") String requestClass,
             @Parameters(paramLabel = "NAME") String name)
             throws IOException, InputException {
         try {
-            if (PromiseFolder.clear(StoreCommand.take(folder), StoreCommand.STANDARD, requestClass, name)) {
+            if (PromiseFolder.clear(StoreCommand.open(folder), StoreCommand.INSPECTION_LIMITS, requestClass, name)) {
                 System.out.println(requestClass + " " + name + ": forgotten");
                 return 0;
             }
-            System.err.println("ivybank: " + folder + ": nothing is on record of " + requestClass + " " + name);
-            return Ivybank.FAILED;
+            System.err.println("ivybank: " + folder + ": no record of " + requestClass + " " + name);
+            return Ivybank.EXIT_FAILED;
         } catch (StoreException e) {
             System.err.println("ivybank: " + folder + ": " + e.getMessage());
-            return Ivybank.FAILED;
+            return Ivybank.EXIT_FAILED;
         }
     }
 }
--- a/src/main/java/ivybank/cli/RehearseCommand.java
+++ b/src/main/java/ivybank/cli/RehearseCommand.java
@@ -24,17 +24,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code ivybank rehearse}: plays bad nights on stand-ins round real sidecars. */
+/** {@code ivybank rehearse}: plays fault scenarios with emulated nodes, discovery and clients around real sidecars. */
 @Command(
         name = "rehearse",
         mixinStandardHelpOptions = true,
         subcommands = {
-            RehearseCommand.Run.class,
+            RehearseCommand.RunScenario.class,
             OverheadCommand.class,
-            RehearseCommand.Highest.class,
-            RehearseCommand.Smaller.class
+            RehearseCommand.MeasureCeiling.class,
+            RehearseCommand.ShrinkScenario.class
         },
-        description = "Plays a bad night on this machine: stand-in nodes, roster and clients round real sidecars.")
+        description =
+                "Plays a fault scenario on this machine: emulated nodes, discovery and clients around real sidecars.")
 final class RehearseCommand implements Runnable {
 
     @CommandLine.Spec
@@ -43,10 +44,13 @@
     @Override
     public void run() {
         throw new CommandLine.ParameterException(
-                spec.commandLine(), "one of list, run, check, print and shrink is missing");
+                spec.commandLine(), "the subcommand is missing: list, run, check, print, shrink, overhead or ceiling");
     }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "The scenarios that ship with this program.")
+    @Command(
+            name = "list",
+            mixinStandardHelpOptions = true,
+            description = "Lists the scenarios that ship with this program.")
     int list() throws InputException {
         for (String name : Scenarios.names()) {
             Scenario scenario = Scenarios.find(name);
@@ -55,12 +59,11 @@
         return 0;
     }
 
-    @Command(
-            name = "check",
-            mixinStandardHelpOptions = true,
-            description = "Reads a scenario and says whether it can be used.")
+    @Command(name = "check", mixinStandardHelpOptions = true, description = "Validates a scenario.")
     int check(
-            @Parameters(paramLabel = "FILE", description = "a scenario's file, or the name of one that ships")
+            @Parameters(
+                            paramLabel = "FILE",
+                            description = "a scenario file, or the name of a scenario that ships with this program")
                     String name)
             throws InputException {
         Scenario scenario = Scenarios.find(name);
@@ -79,74 +82,84 @@
     @Command(
             name = "print",
             mixinStandardHelpOptions = true,
-            description = "Writes a scenario with what its storms are made of, as a file that can be played again.")
+            description = "Writes a scenario with its storms expanded into faults, as a file that can be played again.")
     int print(
             @Parameters(paramLabel = "NAME|FILE") String name,
-            @Option(names = "--seed", paramLabel = "N", description = "the draw; the scenario's own otherwise")
+            @Option(
+                            names = "--seed",
+                            paramLabel = "N",
+                            description = "the seed of the draw; the default is the scenario's own")
                     Long seed)
             throws InputException {
         Scenario scenario = Scenarios.find(name);
-        long drawn = seed == null ? scenario.seed() : seed;
+        long drawSeed = seed == null ? scenario.seed() : seed;
         System.out.print(ScenarioWriter.write(
-                name, Scenarios.text(name), Storm.printable(scenario, drawn).faults()));
+                name, Scenarios.text(name), Storm.printable(scenario, drawSeed).faults()));
         return 0;
     }
 
-    /** {@code rehearse shrink}. */
+    /** {@code rehearse shrink}: removes faults from a failing scenario that the failure does not need. */
     @Command(
             name = "shrink",
             mixinStandardHelpOptions = true,
             description =
-                    "Plays a scenario that fails again and again, without part of its faults, until only those are left that it needs.")
-    static final class Smaller implements Callable<Integer> {
+                    "Plays a failing scenario repeatedly with fewer faults, until only those remain that the failure needs.")
+    static final class ShrinkScenario implements Callable<Integer> {
 
         @Parameters(paramLabel = "NAME|FILE")
         private String name;
 
-        @Option(names = "--seed", paramLabel = "N", description = "the draw; the scenario's own otherwise")
+        @Option(
+                names = "--seed",
+                paramLabel = "N",
+                description = "the seed of the draw; the default is the scenario's own")
         private Long seed;
 
         @Option(
                 names = "--most",
                 paramLabel = "N",
                 defaultValue = "40",
-                description = "plays at most (default ${DEFAULT-VALUE})")
+                description = "the maximum number of plays (default ${DEFAULT-VALUE})")
         private int most;
 
-        @Option(names = "--out", paramLabel = "FILE", required = true, description = "where the smaller scenario goes")
+        @Option(
+                names = "--out",
+                paramLabel = "FILE",
+                required = true,
+                description = "the file that the reduced scenario is written to")
         private Path out;
 
-        @Option(names = "--sidecar", paramLabel = "COMMAND", description = "as with run")
+        @Option(names = "--sidecar", paramLabel = "COMMAND", description = "as for run")
         private String command;
 
         @Override
         public Integer call() throws InputException, IOException, InterruptedException {
-            Scenario read = Scenarios.find(name);
-            long drawn = seed == null ? read.seed() : seed;
-            Scenario scenario = Storm.printable(read, drawn);
-            String wanted = reason(scenario, drawn);
-            if (wanted.isEmpty()) {
-                System.out.println("it passes: there is nothing to look for");
-                return Ivybank.FAILED;
+            Scenario original = Scenarios.find(name);
+            long drawSeed = seed == null ? original.seed() : seed;
+            Scenario scenario = Storm.printable(original, drawSeed);
+            String wantedReason = reason(scenario, drawSeed);
+            if (wantedReason.isEmpty()) {
+                System.out.println("the scenario passes: there is no failure to reduce");
+                return Ivybank.EXIT_FAILED;
             }
-            System.out.println("looking for: " + wanted);
+            System.out.println("reducing the failure: " + wantedReason);
             List<Integer> all =
                     IntStream.range(0, scenario.faults().size()).boxed().toList();
             Shrink.Check<Integer, IOException> check = part -> {
-                String seen = tried(Storm.without(scenario, index -> !part.contains(index)), drawn);
+                String seen = reasonOfTry(Storm.without(scenario, index -> !part.contains(index)), drawSeed);
                 System.out.println(part.size() + " faults: " + (seen.isEmpty() ? "passes" : seen));
-                return seen.equals(wanted);
+                return seen.equals(wantedReason);
             };
-            List<Integer> kept = Shrink.to(all, most, check);
-            Scenario small = Storm.without(scenario, index -> !kept.contains(index));
-            Files.writeString(out, ScenarioWriter.write(name, Scenarios.text(name), small.faults()));
-            System.out.println(kept.size() + " of " + all.size() + " faults are left: " + out);
+            List<Integer> keptFaults = Shrink.to(all, most, check);
+            Scenario reduced = Storm.without(scenario, index -> !keptFaults.contains(index));
+            Files.writeString(out, ScenarioWriter.write(name, Scenarios.text(name), reduced.faults()));
+            System.out.println(keptFaults.size() + " of " + all.size() + " faults remain: " + out);
             return 0;
         }
 
-        private String tried(Scenario scenario, long drawn) throws IOException {
+        private String reasonOfTry(Scenario scenario, long drawSeed) throws IOException {
             try {
-                return reason(scenario, drawn);
+                return reason(scenario, drawSeed);
             } catch (InputException e) {
                 throw new IOException(e);
             } catch (InterruptedException e) {
@@ -155,13 +168,21 @@
             }
         }
 
-        /** What the first reason of a play's verdict is about, without its figures; empty if it passes or can't be judged. */
-        private String reason(Scenario scenario, long drawn) throws InputException, IOException, InterruptedException {
+        /**
+         * Plays the scenario and returns what the first reason of a failed verdict is about, without its figures; empty
+         * if the verdict is not a failure.
+         */
+        private String reason(Scenario scenario, long drawSeed)
+                throws InputException, IOException, InterruptedException {
             Path folder = Files.createTempDirectory("ivybank-shrink");
-            try (ScenarioRun day = new ScenarioRun(
-                    Plan.draw(scenario, drawn), sidecar(command), Path.of("").toAbsolutePath(), folder, line -> {})) {
-                Runtime.getRuntime().addShutdownHook(new Thread(day::close, "end what was started"));
-                Verdict verdict = Verdict.of(day.run());
+            try (ScenarioRun scenarioRun = new ScenarioRun(
+                    Plan.draw(scenario, drawSeed),
+                    sidecarCommand(command),
+                    Path.of("").toAbsolutePath(),
+                    folder,
+                    line -> {})) {
+                Runtime.getRuntime().addShutdownHook(new Thread(scenarioRun::close, "stop started processes"));
+                Verdict verdict = Verdict.of(scenarioRun.run());
                 return verdict.kind() != Verdict.Kind.FAILED
                         ? ""
                         : verdict.reasons()
@@ -169,30 +190,31 @@
                                 .replaceAll("[0-9.\\[\\], ]+", " ")
                                 .strip();
             } finally {
-                remove(folder);
+                deleteRecursively(folder);
             }
         }
     }
 
-    /** {@code rehearse ceiling}. */
+    /** {@code rehearse ceiling}: measures the highest request rate of one sidecar. */
     @Command(
             name = "ceiling",
             mixinStandardHelpOptions = true,
-            description = "The highest rate of one sidecar: clients that ask again as soon as they are answered.")
-    static final class Highest implements Callable<Integer> {
+            description =
+                    "Measures the highest rate of one sidecar, with clients that send the next request on each answer.")
+    static final class MeasureCeiling implements Callable<Integer> {
 
         @Option(
                 names = "--clients",
                 paramLabel = "N",
                 defaultValue = "1,4,16,64",
                 split = ",",
-                description = "how many ask at once (default ${DEFAULT-VALUE})")
+                description = "the number of concurrent clients (default ${DEFAULT-VALUE})")
         private List<Integer> clients;
 
-        @Option(names = "--seconds", paramLabel = "N", defaultValue = "4", description = "for each row")
+        @Option(names = "--seconds", paramLabel = "N", defaultValue = "4", description = "the duration of each row")
         private double seconds;
 
-        @Option(names = "--sidecar", paramLabel = "COMMAND", description = "as with run")
+        @Option(names = "--sidecar", paramLabel = "COMMAND", description = "as for run")
         private String command;
 
         @Override
@@ -200,8 +222,8 @@
             Path folder = Files.createTempDirectory("ivybank-ceiling");
             System.out.println("clients  direct/s  through/s  not served/s  sidecar's cores  its CPU ms/request");
             try (Ceiling ceiling = new Ceiling(
-                    Scenarios.find("calm"), sidecar(command), Path.of("").toAbsolutePath(), folder, 232)) {
-                ceiling.play(16, 4, true); // warm
+                    Scenarios.find("calm"), sidecarCommand(command), Path.of("").toAbsolutePath(), folder, 232)) {
+                ceiling.play(16, 4, true); // warm-up
                 ceiling.play(16, 2, false);
                 for (int count : clients) {
                     Ceiling.Row direct = ceiling.play(count, seconds, false);
@@ -216,13 +238,16 @@
                             1000 * through.cores() / Math.max(1, through.servedRate() + through.otherRate()));
                 }
             }
-            remove(folder);
+            deleteRecursively(folder);
             return 0;
         }
     }
 
-    /** The command that starts a sidecar: as given, as deployed from this folder, or this program's own. */
-    static String sidecar(String given) throws InputException, IOException {
+    /**
+     * Returns the command that starts a sidecar: the given one, the one deployed from this folder, or this program's
+     * own.
+     */
+    static String sidecarCommand(String given) throws InputException, IOException {
         Path deployed = Path.of("deploy", "balancer.toml");
         if (given != null) {
             return given;
@@ -231,17 +256,22 @@
             return StrictTable.parse(deployed.toString(), Files.readString(deployed))
                     .text("run", null);
         }
-        return java("ivybank.Main serve");
+        return javaCommand("ivybank.Main serve");
     }
 
-    /** The command that starts a class of this program, with arguments. */
-    static String java(String mainClass) {
+    /**
+     * Returns the command that starts a class of this program.
+     *
+     * @param mainClass the class name, optionally followed by arguments
+     */
+    static String javaCommand(String mainClass) {
         return "exec env --default-signal=HUP '" + Path.of(System.getProperty("java.home"), "bin", "java")
                 + "' -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp '" + System.getProperty("java.class.path") + "' "
                 + mainClass;
     }
 
-    static void remove(Path folder) throws IOException {
+    /** Deletes a folder with its content. */
+    static void deleteRecursively(Path folder) throws IOException {
         List<Path> all;
         try (var files = Files.walk(folder)) {
             all = files.sorted(Comparator.reverseOrder()).toList();
@@ -251,32 +281,39 @@
         }
     }
 
-    /** {@code rehearse run}. */
+    /** {@code rehearse run}: plays one scenario and judges it. */
     @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a scenario and judges it.")
-    static final class Run implements Callable<Integer> {
+    static final class RunScenario implements Callable<Integer> {
 
-        @Parameters(paramLabel = "NAME|FILE", description = "a scenario that ships, or a file that ends in .toml")
+        @Parameters(
+                paramLabel = "NAME|FILE",
+                description = "a scenario that ships with this program, or a file that ends in .toml")
         private String name;
 
-        @Option(names = "--seed", paramLabel = "N", description = "the draw to play; the scenario's own otherwise")
+        @Option(
+                names = "--seed",
+                paramLabel = "N",
+                description = "the seed of the draw; the default is the scenario's own")
         private Long seed;
 
         @Option(
                 names = "--sidecar",
                 paramLabel = "COMMAND",
-                description = "starts one sidecar; otherwise run of deploy/balancer.toml here, or this jar's own serve")
+                description =
+                        "starts one sidecar; the default is run of deploy/balancer.toml here, or else this jar's own serve")
         private String command;
 
-        @Option(names = "--json", paramLabel = "FILE", description = "writes the report as JSON too")
+        @Option(names = "--json", paramLabel = "FILE", description = "also writes the report as JSON")
         private Path json;
 
-        @Option(names = "--html", paramLabel = "FILE", description = "writes the report as one page with plots too")
+        @Option(names = "--html", paramLabel = "FILE", description = "also writes the report as a page with plots")
         private Path html;
 
         @Option(
                 names = "--state",
                 paramLabel = "DIR",
-                description = "keeps the sidecars' configurations and logs here; otherwise they go when a run is good")
+                description =
+                        "keeps the sidecars' configurations and logs here; the default deletes them after a run that passes")
         private Path state;
 
         @Override
@@ -286,10 +323,10 @@
             boolean keep = state != null;
             Path folder = keep ? Files.createDirectories(state) : Files.createTempDirectory("ivybank-rehearsal");
             ScenarioRun.Result result;
-            try (ScenarioRun day =
-                    new ScenarioRun(plan, sidecar(command), Path.of("").toAbsolutePath(), folder, new Progress())) {
-                Runtime.getRuntime().addShutdownHook(new Thread(day::close, "end what was started"));
-                result = day.run();
+            try (ScenarioRun scenarioRun = new ScenarioRun(
+                    plan, sidecarCommand(command), Path.of("").toAbsolutePath(), folder, new Progress())) {
+                Runtime.getRuntime().addShutdownHook(new Thread(scenarioRun::close, "stop started processes"));
+                result = scenarioRun.run();
             }
             Report report = new Report(result);
             report.print(System.out);
@@ -301,11 +338,11 @@
             }
             boolean passed = report.verdict().kind() == Verdict.Kind.PASSED;
             if (passed && !keep) {
-                remove(folder);
+                deleteRecursively(folder);
             } else {
                 System.out.println("configurations and logs of the sidecars: " + folder);
             }
-            return passed ? 0 : Ivybank.FAILED;
+            return passed ? 0 : Ivybank.EXIT_FAILED;
         }
     }
 }
--- a/src/main/java/ivybank/cli/ScaleCommand.java
+++ b/src/main/java/ivybank/cli/ScaleCommand.java
@@ -17,11 +17,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code ivybank scale}: how the costs of control grow with the fleet. */
+/** {@code ivybank scale}: measures how the control-plane costs grow with the fleet. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Measures how the costs of control grow with the size of the fleet, on this machine.")
+        description = "Measures on this machine how the control-plane costs grow with the size of the fleet.")
 final class ScaleCommand implements Runnable {
 
     @CommandLine.Spec
@@ -29,33 +29,33 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what to do is missing: run FILE");
+        throw new CommandLine.ParameterException(spec.commandLine(), "the subcommand is missing: run FILE");
     }
 
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
-            description = "Grows lists, fleets and views as a file says, fits slopes and prints them.")
+            description = "Grows lists, fleets and views by a plan file, fits slopes and prints them.")
     int run(
-            @Parameters(paramLabel = "FILE", description = "what to measure, as TOML") Path file,
-            @Option(names = "--out", paramLabel = "FILE", description = "writes points and slopes as JSON too")
+            @Parameters(paramLabel = "FILE", description = "the plan, in TOML") Path file,
+            @Option(names = "--out", paramLabel = "FILE", description = "also writes points and slopes as JSON")
                     Path out,
-            @Option(names = "--plots", paramLabel = "DIR", description = "writes a page of plots into this folder too")
+            @Option(names = "--plots", paramLabel = "DIR", description = "also writes a page of plots into this folder")
                     Path plots,
             @Option(
                             names = "--sidecar",
                             paramLabel = "COMMAND",
                             description =
-                                    "starts one real sidecar; otherwise run of deploy/balancer.toml here, or this jar's own serve")
+                                    "starts one real sidecar; the default is run of deploy/balancer.toml here, or else this jar's own serve")
                     String command)
             throws InputException, IOException, InterruptedException {
         ScalePlan plan = ScalePlanReader.read(file);
         Path folder = Files.createTempDirectory("ivybank-scale");
         ScaleResult result;
         try {
-            result = new ScaleRun(plan, RehearseCommand.sidecar(command), folder, new Progress()).run();
+            result = new ScaleRun(plan, RehearseCommand.sidecarCommand(command), folder, new Progress()).run();
         } finally {
-            RehearseCommand.remove(folder);
+            RehearseCommand.deleteRecursively(folder);
         }
         ScaleReport report = new ScaleReport(result);
         report.print(System.out);
@@ -65,15 +65,14 @@
         if (plots != null) {
             ScalePlots.write(result, plots);
         }
-        boolean judgedWell =
-                result.beside() == null || result.beside().verdict().equals("passed");
-        return judgedWell ? 0 : Ivybank.FAILED;
+        boolean passed = result.beside() == null || result.beside().verdict().equals("passed");
+        return passed ? 0 : Ivybank.EXIT_FAILED;
     }
 
-    @Command(name = "worker", hidden = true, description = "One process of a scale run; started by it alone.")
+    @Command(name = "worker", hidden = true, description = "Runs one process of a scale run; for internal use.")
     int worker(@Parameters(paramLabel = "KIND") String kind) throws IOException {
         Worker.run(Worker.Kind.valueOf(kind.toUpperCase(Locale.ROOT)));
-        System.exit(0); // its event loops would keep it
+        System.exit(0); // its event loops would keep the process alive
         return 0;
     }
 }
--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -19,15 +19,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code ivybank store}: looks at the folder of a store, which no daemon may hold meanwhile. */
+/** {@code ivybank store}: inspects and maintains the folder of a store that no daemon holds. */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
-        description = "Looks at the folder of a store while no daemon holds it.")
+        description = "Inspects and maintains the folder of a store that no daemon holds.")
 final class StoreCommand implements Runnable {
 
-    /** Larger than an operator file need allow: what is there must be readable. */
-    static final Limits STANDARD = new Limits(1L << 40, 1 << 20, 64 << 10, 4 << 20);
+    /** Limits above those that an operator file usually sets, so that every existing store can be read. */
+    static final Limits INSPECTION_LIMITS = new Limits(1L << 40, 1 << 20, 64 << 10, 4 << 20);
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -35,12 +35,12 @@
     @Override
     public void run() {
         throw new CommandLine.ParameterException(
-                spec.commandLine(), "one of init, inspect, verify and compact is missing");
+                spec.commandLine(), "the subcommand is missing: init, inspect, verify or compact");
     }
 
-    static Disk take(Path folder) throws IOException, InputException {
+    static Disk open(Path folder) throws IOException, InputException {
         if (!Files.isDirectory(folder)) {
-            throw new InputException(folder + ": is no folder");
+            throw new InputException(folder + ": is not a folder");
         }
         return RealDisk.take(folder);
     }
@@ -48,7 +48,8 @@
     @Command(
             name = "init",
             mixinStandardHelpOptions = true,
-            description = "Makes the first store of a sidecar, in a folder that has none. Exit code 1 if it has one.")
+            description =
+                    "Creates the first store of a sidecar, in a folder without a store. Exits with 1 if there is one.")
     int init(
             @Parameters(paramLabel = "DIR") Path folder,
             @Option(names = "--name", paramLabel = "NAME", required = true, description = "the sidecar's name")
@@ -57,25 +58,28 @@
         try {
             StoreIdentity made = Maintenance.make(
                     RealDisk.take(folder),
-                    STANDARD,
+                    INSPECTION_LIMITS,
                     name,
                     () -> UUID.randomUUID().toString());
             System.out.println(folder + ": the store of " + name + ", id " + made.id());
             return 0;
         } catch (StoreException e) {
             System.err.println("ivybank: " + folder + ": " + e.getMessage());
-            return Ivybank.FAILED;
+            return Ivybank.EXIT_FAILED;
         }
     }
 
-    @Command(name = "inspect", mixinStandardHelpOptions = true, description = "What is in a store; changes nothing.")
+    @Command(
+            name = "inspect",
+            mixinStandardHelpOptions = true,
+            description = "Shows the content of a store; changes nothing.")
     int inspect(@Parameters(paramLabel = "DIR") Path folder) throws IOException, InputException {
         RecoveryReport report = read(folder);
         if (report == null) {
-            return Ivybank.FAILED;
+            return Ivybank.EXIT_FAILED;
         }
         System.out.println(folder + ": " + report.line());
-        System.out.println(whose(folder));
+        System.out.println(ownership(folder));
         try (var files = Files.list(folder)) {
             for (Path file : files.sorted().toList()) {
                 System.out.printf("%12d  %s%n", Files.size(file), file.getFileName());
@@ -87,21 +91,21 @@
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Reads every record; 1 if any that was confirmed can't be read. Changes nothing.")
+            description = "Reads every record; exits with 1 if a confirmed record cannot be read. Changes nothing.")
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException, InputException {
         RecoveryReport report = read(folder);
         if (report != null) {
             System.out.println(folder + ": " + (report.damage().isEmpty() ? "good; " : "") + report.line());
         }
-        return report != null && report.damage().isEmpty() ? 0 : Ivybank.FAILED;
+        return report != null && report.damage().isEmpty() ? 0 : Ivybank.EXIT_FAILED;
     }
 
-    private static String whose(Path folder) throws IOException, InputException {
-        try (Disk disk = take(folder)) {
+    private static String ownership(Path folder) throws IOException, InputException {
+        try (Disk disk = open(folder)) {
             StoreIdentity identity = StoreIdentity.of(disk);
             return identity == null
-                    ? "it has no name, as those of earlier versions"
-                    : "of " + identity.owner() + ", id " + identity.id() + ", taken up " + identity.life() + " times";
+                    ? "it has no owner, as a store of an earlier version"
+                    : "owner " + identity.owner() + ", id " + identity.id() + ", opened " + identity.life() + " times";
         } catch (StoreException e) {
             return e.getMessage();
         }
@@ -109,28 +113,28 @@
 
     private static RecoveryReport read(Path folder) throws IOException, InputException {
         try {
-            return Maintenance.verify(take(folder));
+            return Maintenance.verify(open(folder));
         } catch (StoreException e) {
             System.err.println("ivybank: " + folder + ": " + e.getMessage());
             return null;
         }
     }
 
-    @Command(name = "compact", mixinStandardHelpOptions = true, description = "Drops what is dead.")
+    @Command(name = "compact", mixinStandardHelpOptions = true, description = "Removes dead records.")
     int compact(
             @Parameters(paramLabel = "DIR") Path folder,
-            @Option(names = "--operator", paramLabel = "FILE", description = "the operator file, for its sizes")
+            @Option(names = "--operator", paramLabel = "FILE", description = "the operator file, for its size limits")
                     Path operator)
             throws IOException, InputException {
         StoreSettings settings =
                 operator == null ? null : OperatorFile.read(operator).store();
         try {
-            long[] bytes = Maintenance.compact(take(folder), settings == null ? STANDARD : settings.limits());
+            long[] bytes = Maintenance.compact(open(folder), settings == null ? INSPECTION_LIMITS : settings.limits());
             System.out.println(folder + ": " + bytes[0] + " bytes before, " + bytes[1] + " now");
             return 0;
         } catch (StoreException e) {
             System.err.println("ivybank: " + folder + ": " + e.getMessage());
-            return Ivybank.FAILED;
+            return Ivybank.EXIT_FAILED;
         }
     }
 }
--- a/src/main/java/ivybank/cli/ViewTable.java
+++ b/src/main/java/ivybank/cli/ViewTable.java
@@ -10,59 +10,61 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Several sidecars' views side by side, and where they differ. */
+/** Several sidecars' views of the fleet side by side, with their differences marked. */
 final class ViewTable {
 
-    /** One sidecar's view as its door told it; {@code view} is null where it did not answer. */
-    record Asked(String door, JsonNode view) {}
+    /** One sidecar's view as its admin endpoint returned it; {@code view} is null where the endpoint did not answer. */
+    record Reply(String endpoint, JsonNode view) {}
 
     private static final String ABSENT = "-";
-    private static final int LEAST_WIDTH = 14;
+    private static final int MIN_COLUMN_WIDTH = 14;
 
-    private final List<Asked> asked;
-    private final Map<Integer, String> names = new TreeMap<>(); // by seat
-    private final List<Integer> differing = new ArrayList<>();
+    private final List<Reply> replies;
+    private final Map<Integer, String> namesByIndex = new TreeMap<>();
+    private final List<Integer> differingIndexes = new ArrayList<>();
 
-    ViewTable(List<Asked> asked) {
-        this.asked = List.copyOf(asked);
-        for (Asked each : answered()) {
+    ViewTable(List<Reply> replies) {
+        this.replies = List.copyOf(replies);
+        for (Reply each : answered()) {
             for (JsonNode member : each.view.path("members")) {
-                names.merge(
+                namesByIndex.merge(
                         member.path("seat").asInt(),
                         member.path("name").asText(""),
                         (one, other) -> one.isEmpty() ? other : one);
             }
         }
-        for (int seat : names.keySet()) {
+        for (int index : namesByIndex.keySet()) {
             Set<String> seen = new LinkedHashSet<>();
-            answered().forEach(each -> seen.add(living(each, seat)));
+            answered().forEach(each -> seen.add(comparedState(each, index)));
             if (seen.size() > 1) {
-                differing.add(seat);
+                differingIndexes.add(index);
             }
         }
     }
 
-    private List<Asked> answered() {
-        return asked.stream().filter(each -> each.view != null).toList();
+    private List<Reply> answered() {
+        return replies.stream().filter(each -> each.view != null).toList();
     }
 
-    /** Whether all answered and see the same. */
-    boolean alike() {
-        return differing.isEmpty() && answered().size() == asked.size();
+    /** Returns whether all sidecars answered and have the same view. */
+    boolean isConsistent() {
+        return differingIndexes.isEmpty() && answered().size() == replies.size();
     }
 
-    private static JsonNode member(Asked by, int seat) {
-        for (JsonNode member : by.view.path("members")) {
-            if (member.path("seat").asInt() == seat) {
+    private static JsonNode member(Reply reply, int index) {
+        for (JsonNode member : reply.view.path("members")) {
+            if (member.path("seat").asInt() == index) {
                 return member;
             }
         }
         return null;
     }
 
-    /** What counts for a difference: one that has been forgotten is as gone as one that is known to be. */
-    private static String living(Asked by, int seat) {
-        JsonNode member = member(by, seat);
+    /**
+     * Returns the part of a member's state that is compared: a forgotten member equals one that is known to have left.
+     */
+    private static String comparedState(Reply reply, int index) {
+        JsonNode member = member(reply, index);
         return member == null || !FleetViewClient.lives(member) ? ABSENT : state(member);
     }
 
@@ -70,19 +72,19 @@
         return member.path("standing").asText() + " " + member.path("life").asText();
     }
 
-    private static String cell(Asked by, int seat) {
-        JsonNode member = member(by, seat);
+    private static String cell(Reply reply, int index) {
+        JsonNode member = member(reply, index);
         return member == null
                 ? ABSENT
                 : state(member)
-                        + (member.has("doubted_by") ? " doubted by " + member.get("doubted_by") : "")
-                        + (member.path("heeded").asBoolean(true) ? "" : " not heeded");
+                        + (member.has("doubted_by") ? " suspected by " + member.get("doubted_by") : "")
+                        + (member.path("heeded").asBoolean(true) ? "" : " ignored");
     }
 
-    /** The lines of the table, and one that sums it up. */
+    /** Returns the lines of the table, followed by a summary. */
     List<String> lines() {
         List<List<String>> rows = new ArrayList<>();
-        rows.add(row("", each -> each.door));
+        rows.add(row("", each -> each.endpoint));
         rows.add(row(
                 "settled for",
                 each -> each.view == null
@@ -95,21 +97,21 @@
                 "view",
                 each -> each.view == null ? "" : each.view.path("digest").asText()));
         rows.add(row(
-                "others that live",
+                "live peers",
                 each -> each.view == null ? "" : each.view.path("peers").asText()));
         rows.add(row(
                 "health",
                 each -> each.view == null ? "" : each.view.path("health").asText()));
-        for (Map.Entry<Integer, String> seat : names.entrySet()) {
+        for (Map.Entry<Integer, String> index : namesByIndex.entrySet()) {
             rows.add(row(
-                    (differing.contains(seat.getKey()) ? "* " : "  ") + seat.getKey() + " " + seat.getValue(),
-                    each -> each.view == null ? "" : cell(each, seat.getKey())));
+                    (differingIndexes.contains(index.getKey()) ? "* " : "  ") + index.getKey() + " " + index.getValue(),
+                    each -> each.view == null ? "" : cell(each, index.getKey())));
         }
-        int[] widths = new int[asked.size() + 1];
+        int[] widths = new int[replies.size() + 1];
         for (List<String> row : rows) {
             for (int i = 0; i < widths.length; i++) {
-                widths[i] =
-                        Math.max(Math.max(widths[i], LEAST_WIDTH), row.get(i).length());
+                widths[i] = Math.max(
+                        Math.max(widths[i], MIN_COLUMN_WIDTH), row.get(i).length());
             }
         }
         List<String> lines = new ArrayList<>();
@@ -120,27 +122,27 @@
             }
             lines.add(line.toString().stripTrailing());
         }
-        lines.add(sum());
+        lines.add(summary());
         return lines;
     }
 
-    private String sum() {
-        int silent = asked.size() - answered().size();
-        double leastS = answered().stream()
+    private String summary() {
+        int unanswered = replies.size() - answered().size();
+        double minSettledS = answered().stream()
                 .mapToDouble(each -> each.view.path("settled_ms").asDouble() / 1000)
                 .min()
                 .orElse(0);
-        String sum = differing.isEmpty()
-                ? "all that answered see the same"
-                : "they differ on seats " + differing
-                        + String.format(Locale.ROOT, "; the one that changed last did so %.1f s ago", leastS);
-        return sum + (silent == 0 ? "" : "; no answer from " + silent);
+        String summary = differingIndexes.isEmpty()
+                ? "all that answered have the same view"
+                : "they differ on members " + differingIndexes
+                        + String.format(Locale.ROOT, "; the last change was %.1f s ago", minSettledS);
+        return summary + (unanswered == 0 ? "" : "; no answer from " + unanswered);
     }
 
-    private List<String> row(String title, java.util.function.Function<Asked, String> cell) {
+    private List<String> row(String title, java.util.function.Function<Reply, String> cell) {
         List<String> row = new ArrayList<>();
         row.add(title);
-        asked.forEach(each -> row.add(cell.apply(each)));
+        replies.forEach(each -> row.add(cell.apply(each)));
         return row;
     }
 }
--- a/src/main/java/ivybank/cli/package-info.java
+++ b/src/main/java/ivybank/cli/package-info.java
@@ -1,2 +1,2 @@
-/** Commands beside the sidecar and the simulator host. */
+/** The command line interface, apart from running the sidecar and the simulator host. */
 package ivybank.cli;
