--- a/src/main/java/ivybank/daemon/DescriptorShares.java
+++ b/src/main/java/ivybank/daemon/DescriptorShares.java
@@ -26,7 +26,7 @@
     private static final double UNEVICTED_FRACTION = 0.31;
 
     private static final int REQUEST_DIVISOR = 3;
-    /** The fraction of the accepted client connections that are only told to retry. */
+    /** The fraction of the accepted client connections that only receive a refusal. */
     private static final double REFUSED_FRACTION = 0.06;
 
     /**
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -49,10 +49,10 @@
     private final Clock clock;
     private final Log log;
     private final MemoryFiles files;
-    private final ScheduledExecutorService thread;
+    private final ScheduledExecutorService executor;
     private volatile boolean siblingPresent;
-    // Used on the worker thread only.
-    private int rounds;
+    // Used on the handover thread only.
+    private int roundCount;
     private boolean loadReported;
     private String lastFailure;
 
@@ -71,10 +71,10 @@
         this.clock = clock;
         this.log = log;
         files = new MemoryFiles(folder, ProcessHandle.current().pid(), log::line);
-        thread = Executors.newSingleThreadScheduledExecutor(task -> {
-            Thread worker = new Thread(task, "handover");
-            worker.setDaemon(true);
-            return worker;
+        executor = Executors.newSingleThreadScheduledExecutor(task -> {
+            Thread thread = new Thread(task, "handover");
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
@@ -93,7 +93,7 @@
     /** Starts the exchange of files; the first file is written before this returns. */
     Chain start() {
         round(); // a file exists before the first connection is accepted
-        return PeriodicTask.start("handover", thread, clock, log, WRITE_INTERVAL_MS, this::round);
+        return PeriodicTask.start("handover", executor, clock, log, WRITE_INTERVAL_MS, this::round);
     }
 
     /** Sets whether another process of this sidecar is running. */
@@ -105,7 +105,7 @@
         if (siblingPresent || loadReported) {
             reportSiblingLoad();
         }
-        if (siblingPresent || rounds++ % INTERVALS_PER_WRITE_ALONE == 0) {
+        if (siblingPresent || roundCount++ % INTERVALS_PER_WRITE_ALONE == 0) {
             writeMemory();
         }
     }
@@ -122,22 +122,22 @@
     private void reportSiblingLoad() {
         double nowMs = clock.machineMs();
         Map<String, Integer> inFlight = new HashMap<>();
-        int inHand = 0;
-        int held = siblingPresent ? EXTRA_DESCRIPTORS : 0;
+        int unanswered = 0;
+        int usedDescriptors = siblingPresent ? EXTRA_DESCRIPTORS : 0;
         for (Memory memory : siblingPresent ? readOthers() : List.<Memory>of()) {
             if (memory.isFresh(nowMs)) {
-                inHand += memory.inHand();
-                held += memory.descriptors();
+                unanswered += memory.inHand();
+                usedDescriptors += memory.descriptors();
                 memory.learned().nodes().forEach((host, node) -> inFlight.merge(host, node.out(), Integer::sum));
             }
         }
-        int requests = inHand;
-        int heldElsewhere = held;
+        int requests = unanswered;
+        int siblingDescriptors = usedDescriptors;
         loadReported = siblingPresent;
         EventLoopTasks.execute(loop, () -> {
             dispatcher.siblingLoad(inFlight, requests);
             server.elsewhere(requests);
-            descriptors.elsewhere(heldElsewhere);
+            descriptors.elsewhere(siblingDescriptors);
         });
     }
 
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -212,7 +212,8 @@
         unanswered++;
         counters.taken++;
         tally.taken();
-        // The module gets the time since the request was read: it takes a shorter time than usual as a sign of a retry.
+        // The time left counts from when the request was read: the module takes less time than usual as a sign of a
+        // retry.
         double leftMs = arriving ? request.budgetMs() : request.arrivedMs() + request.budgetMs() - clock.nowMs();
         if (!arriving) {
             startBackstop(exchange, deadlineMs - clock.nowMs());
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -164,13 +164,13 @@
         this.log = log;
         this.clock = clock;
         group = StartRetry.call(
-                "making the event loop",
+                "creating the event loop",
                 log,
                 e -> false,
                 () -> new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()));
         loop = group.next();
         discoveryReady = loop.newPromise();
-        timeline.reached("event loop made");
+        timeline.reached("event loop created");
         watchdog = new Watchdog(loop, clock, log);
         guard = new InvariantGuard(log::line);
         DescriptorShares shares = DescriptorShares.of(config.sockets());
