--- a/src/test/java/ivybank/JarIT.java
+++ b/src/test/java/ivybank/JarIT.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The jar as it ships. */
+/** Tests the packaged jar. */
 @Timeout(60)
 class JarIT {
 
@@ -22,17 +22,17 @@
     Path dir;
 
     @Test
-    void serveLoadsNoClassOfThePartsThatAreOff() throws Exception {
+    void serveLoadsNoClassOfDisabledFeatures() throws Exception {
         Path loaded = dir.resolve("loaded.log");
         String command = "exec '" + Path.of(System.getProperty("java.home"), "bin", "java")
                 + "' -XX:+UseSerialGC -Xlog:class+load:file=" + loaded + " -jar target/ivybank.jar serve";
-        try (ScenarioRun day = new ScenarioRun(
+        try (ScenarioRun run = new ScenarioRun(
                 Plan.draw(ScenarioReader.read("jar", ShortNight.TOML), 1),
                 command,
                 Path.of("").toAbsolutePath(),
                 dir,
                 line -> {})) {
-            assertEquals(List.of(), Verdict.of(day.run()).reasons());
+            assertEquals(List.of(), Verdict.of(run.run()).reasons());
         }
         LoadedClasses.assertServeAlone(loaded);
     }
--- a/src/test/java/ivybank/LayoutTest.java
+++ b/src/test/java/ivybank/LayoutTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Which package may use which: docs/design/layout.md in code. */
+/** Checks the allowed dependencies between packages, as described in docs/design/layout.md. */
 class LayoutTest {
 
     private static final JavaClasses PROGRAM = new ClassFileImporter()
@@ -16,7 +16,7 @@
             .importPackages("ivybank");
 
     @Test
-    void eachPackageIsUsedByThoseAboveItAlone() {
+    void packagesAreUsedOnlyByThePackagesAboveThem() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("ivybank..")
                 .layer("main")
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void whatDecidesDoesNoInputAndOutput() {
+    void decisionCodeDoesNoIo() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void whetherTheLoopWasHeldUpIsDecidedWithoutIt() {
+    void stallDetectionDoesNotDependOnTheEventLoop() {
         noClasses()
                 .that()
                 .haveFullyQualifiedName("ivybank.common.EventLoopStallDetector")
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void roomAndWhatIsHandedOverAreDecidedWithoutInputAndOutput() {
+    void concurrencyLimitsAndHandoverDoNoIo() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void theRefereeAndTheModelsOfTheKitDoNoInputAndOutputAndKnowNothingOfTheSidecar() {
+    void rehearsalModelsDoNoIoAndDoNotDependOnTheSidecar() {
         noClasses()
                 .that()
                 .resideInAnyPackage("ivybank.rehearsal.referee..", "ivybank.rehearsal.scenario..")
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void whatTheOverheadsFiguresComeFromIsComputedWithoutSocketsAndClock() {
+    void overheadStatisticsUseNoSocketsAndNoClock() {
         noClasses()
                 .that()
                 .resideInAPackage("ivybank.rehearsal.latency..")
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void theStoreKnowsNothingOfRequestsAndThePromisesDecideWithoutInputAndOutput() {
+    void theStoreDoesNotDependOnRequestsAndPromisesDoNoIo() {
         noClasses()
                 .that()
                 .resideInAPackage("ivybank.store..")
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void whatDecidesReadsNoClock() {
+    void decisionCodeReadsNoClock() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -296,7 +296,7 @@
     }
 
     @Test
-    void whatAScaleRunConcludesIsDecidedWithoutProcessesAndSockets() {
+    void scaleConclusionsUseNoProcessesAndNoSockets() {
         noClasses()
                 .that()
                 .haveFullyQualifiedName("ivybank.scale.result.MachineLimit")
--- a/src/test/java/ivybank/cli/IvybankTest.java
+++ b/src/test/java/ivybank/cli/IvybankTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line as a process: what it prints, and its exit codes. */
+/** Runs the command line as a process: its output and its exit codes. */
 @Timeout(60)
 class IvybankTest {
 
     @TempDir
     Path dir;
 
-    private String said;
+    private String output;
 
     private int run(String... arguments) throws Exception {
         String[] command = new String[arguments.length + 4];
@@ -31,7 +31,7 @@
         command[3] = "ivybank.Main";
         System.arraycopy(arguments, 0, command, 4, arguments.length);
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
-        said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         return process.waitFor();
     }
 
@@ -52,41 +52,41 @@
     }
 
     @Test
-    void wrongUseAndUnusableInputAreToldInWordsAndByTheirExitCode() throws Exception {
+    void wrongUsageAndUnusableInputAreReportedByMessageAndExitCode() throws Exception {
         assertEquals(0, run("--version"));
-        assertTrue(said.startsWith("ivybank "), said);
+        assertTrue(output.startsWith("ivybank "), output);
         assertEquals(2, run());
         assertEquals(2, run("serve", "now"));
         assertEquals(0, run("check", "operator", "deploy/operator.toml"));
         assertTrue(
-                said.contains("silenceMs=3000, firstAnswerMs=150, connectMs=75, longestPauseMs=75.0"),
-                "the standard values: " + said);
+                output.contains("silenceMs=3000, firstAnswerMs=150, connectMs=75, longestPauseMs=75.0"),
+                "the default values: " + output);
         Path operator = Files.writeString(dir.resolve("operator.toml"), "[discovery]\nsilence = 3\n");
         for (String[] use :
                 new String[][] {{"check", "operator", operator.toString()}, {"check", "operator", dir.toString()}}) {
             assertEquals(2, run(use));
-            assertEquals(1, said.lines().count(), said);
+            assertEquals(1, output.lines().count(), output);
         }
         assertEquals(2, run("check", "operator", operator.toString()));
         assertTrue(
-                said.contains(
+                output.contains(
                         "operator.toml: discovery.silence is not known here: allowed are [connect_ms, first_answer_ms,"
                                 + " longest_pause_ms, silence_ms]"),
-                said);
+                output);
         assertEquals(2, run("rehearse", "run", "no-such-night"));
         assertTrue(
-                said.contains("no scenario \"no-such-night\"")
-                        && said.contains("calm")
-                        && said.lines().count() == 1,
-                said);
+                output.contains("no scenario \"no-such-night\"")
+                        && output.contains("calm")
+                        && output.lines().count() == 1,
+                output);
         assertEquals(0, run("rehearse", "check", scenario(0).toString()));
         Files.writeString(dir.resolve("night.toml"), "name = \"x\"\nlength_s = 0\n");
         assertEquals(2, run("rehearse", "check", dir.resolve("night.toml").toString()));
-        assertTrue(said.contains("night.toml: length_s is 0: a number from 1 to 3600 is allowed"), said);
+        assertTrue(output.contains("night.toml: length_s is 0: a number from 1 to 3600 is allowed"), output);
     }
 
     @Test
-    void aRunTellsWhatItSawAndPassesOrFailsByItsFloor() throws Exception {
+    void aRunReportsItsResultsAndPassesOrFailsByItsFloor() throws Exception {
         Path json = dir.resolve("night.json");
         Path html = dir.resolve("night.html");
         int code = run(
@@ -104,9 +104,9 @@
                 "--state",
                 dir.resolve("state").toString());
         JsonNode report = new ObjectMapper().readTree(json.toFile());
-        assertEquals(1, code, said);
-        assertEquals("failed", report.get("verdict").asText(), said);
-        assertTrue(report.get("reasons").get(0).asText().contains("under the floor of 1.000"), said);
+        assertEquals(1, code, output);
+        assertEquals("failed", report.get("verdict").asText(), output);
+        assertTrue(report.get("reasons").get(0).asText().contains("under the floor of 1.000"), output);
         assertEquals(5, report.get("seed").asInt());
         int counted = 0;
         for (JsonNode second : report.get("seconds")) {
@@ -114,12 +114,12 @@
                 counted += count.asInt();
             }
         }
-        assertEquals(report.get("first_tries").asInt(), counted, "each first try came to something");
+        assertEquals(report.get("first_tries").asInt(), counted, "each first try has an outcome");
         assertTrue(report.get("events").toString().contains("sidecar 0 is killed"));
         assertTrue(report.get("rules").isEmpty(), report.get("breaches").toString());
         String page = Files.readString(html);
         assertTrue(page.contains("night &lt;1&gt;") && page.contains("<svg") && page.contains("sidecar 0 is killed"));
-        assertFalse(page.contains("src=") || page.contains("href="), "it is whole in itself");
+        assertFalse(page.contains("src=") || page.contains("href="), "the page is self-contained");
         assertTrue(Files.exists(dir.resolve("state/sidecar-0/sidecar.log")));
     }
 }
--- a/src/test/java/ivybank/daemon/AdminEndpointUnderIdleClientsTest.java
+++ b/src/test/java/ivybank/daemon/AdminEndpointUnderIdleClientsTest.java
@@ -24,33 +24,33 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Idle clients take all descriptors of a process that the system lets have no more, and operators still get through. */
+/** Idle clients use all descriptors of a process with a low system limit; calls to the admin endpoint still succeed. */
 @Timeout(60)
-class DoorInACrowdTest {
+class AdminEndpointUnderIdleClientsTest {
 
     private static final int DESCRIPTORS = 256;
-    private static final int CROWD = 400;
+    private static final int IDLE_CLIENTS = 400;
     private static final int CALLS = 20;
-    private static final Duration LONGEST_CALL = Duration.ofSeconds(10);
-    private static final long LONGEST_START_MS = 30_000;
-    private static final long PAUSE_MS = 20;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(10);
+    private static final long START_TIMEOUT_MS = 30_000;
+    private static final long POLL_INTERVAL_MS = 20;
 
     @TempDir
     Path dir;
 
-    private final AtomicBoolean down = new AtomicBoolean(true);
+    private final AtomicBoolean discoveryDown = new AtomicBoolean(true);
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> idleClients = new ArrayList<>();
     private final InetSocketAddress listen = FakeServer.nobody();
-    private final InetSocketAddress door = FakeServer.nobody();
+    private final InetSocketAddress adminAddress = FakeServer.nobody();
     private Process process;
 
-    DoorInACrowdTest() throws IOException {}
+    AdminEndpointUnderIdleClientsTest() throws IOException {}
 
     @AfterEach
     void end() throws IOException, InterruptedException {
-        for (Socket idle : crowd) {
+        for (Socket idle : idleClients) {
             idle.close();
         }
         if (process != null) {
@@ -60,7 +60,7 @@
 
     private FakeServer agent(String list) throws IOException {
         return new FakeServer(connection -> {
-            for (String call = connection.read(); call != null && !down.get(); call = connection.read()) {
+            for (String call = connection.read(); call != null && !discoveryDown.get(); call = connection.read()) {
                 if (call.contains("stream=1")) {
                     connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
                 } else {
@@ -83,7 +83,7 @@
                 """.formatted(
                         SidecarRig.text(listen),
                         SidecarRig.text(agent.address()),
-                        SidecarRig.text(door),
+                        SidecarRig.text(adminAddress),
                         DESCRIPTORS,
                         SidecarRig.host("s-1", node.address(), "Ready")));
         ProcessBuilder builder = new ProcessBuilder(
@@ -98,10 +98,10 @@
         builder.environment().put("EDGE_CONFIG", config.toString());
         builder.environment().remove("TMPDIR");
         process = builder.start();
-        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_START_MS);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
         while (!serves()) {
             assertTrue(process.isAlive() && System.nanoTime() < endNanos, log());
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
@@ -118,34 +118,34 @@
     }
 
     private int call(String method, String path, String body) throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + SidecarRig.text(door) + path))
-                .timeout(LONGEST_CALL)
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + SidecarRig.text(adminAddress) + path))
+                .timeout(CALL_TIMEOUT)
                 .method(method, BodyPublishers.ofString(body))
                 .build();
         return http.send(request, BodyHandlers.discarding()).statusCode();
     }
 
-    private void gather() throws IOException {
-        for (int i = 0; i < CROWD; i++) {
+    private void connectIdleClients() throws IOException {
+        for (int i = 0; i < IDLE_CLIENTS; i++) {
             Socket idle = new Socket();
             idle.connect(listen);
-            crowd.add(idle);
+            idleClients.add(idle);
         }
     }
 
     @Test
-    void operatorsGetThroughWhileDiscoveryIsDownAndWhenItIsBack() throws Exception {
+    void adminCallsSucceedWhileDiscoveryIsDownAndAfterItRecovers() throws Exception {
         FakeServer node = FakeServer.answering(FakeServer.OK);
         FakeServer agent = agent(SidecarRig.list(9, SidecarRig.host("s-1", node.address(), "Ready")));
         try (node;
                 agent) {
             start(agent, node);
-            gather();
+            connectIdleClients();
             for (int i = 0; i < CALLS; i++) {
                 assertEquals(200, call("GET", "/status", ""), log());
             }
             assertEquals(200, call("PUT", "/maintenance/enter", "{\"host\":\"s-1\"}"), log());
-            down.set(false);
+            discoveryDown.set(false);
             assertEquals(200, call("PUT", "/maintenance/exit", "{\"host\":\"s-1\"}"), log());
             for (int i = 0; i < CALLS; i++) {
                 assertEquals(200, call("GET", "/status", ""), log());
--- a/src/test/java/ivybank/daemon/DisconnectedClientTest.java
+++ b/src/test/java/ivybank/daemon/DisconnectedClientTest.java
@@ -31,18 +31,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A request whose client has left while it waited is not sent on 0.1 s later, whatever it waits for and whether or not the
- * settings allow calling off. Each wait is made: nodes hold, let in, answer and turn away at an event of the test.
+ * A waiting request whose client has disconnected is not forwarded 0.1 s later, whatever it waits for and whether or
+ * not the settings allow cancellation. Each kind of wait is forced: nodes hold, accept, answer and reject when the test
+ * says so.
  */
 @Timeout(30)
-class DepartedClientTest {
+class DisconnectedClientTest {
 
-    /** After this nothing of it reaches a node. */
+    /** The time after which no part of the request may reach a node. */
     private static final int BOUND_MS = 100;
 
-    private static final long LONGEST_LOOK_MS = 5;
-    /** By then a node has read what was sent to it. */
-    private static final int SENT_MS = 300;
+    private static final long MAX_POLL_MS = 5;
+    /** The time after which a node has read what was sent to it. */
+    private static final int DELIVERY_MS = 300;
 
     @TempDir
     Path dir;
@@ -57,70 +58,70 @@
         return SidecarRig.host(name, address, "Ready");
     }
 
-    /** Lets in what waits for a connection, and sees to it that nothing comes on it. */
-    private static void assertNothingIsSent(LateListener node) throws IOException {
+    /** Accepts the pending connections, and checks that nothing is sent on them. */
+    private static void assertNothingIsForwarded(LateListener node) throws IOException {
         node.letIn();
-        for (Socket late = node.next(4000); late != null; late = node.next(200)) {
-            late.setSoTimeout(BOUND_MS);
+        for (Socket accepted = node.next(4000); accepted != null; accepted = node.next(200)) {
+            accepted.setSoTimeout(BOUND_MS);
             try {
-                assertEquals(-1, late.getInputStream().read(), "something was sent on");
+                assertEquals(-1, accepted.getInputStream().read(), "something was forwarded");
             } catch (SocketTimeoutException e) {
-                // It stands idle: nothing was sent.
+                // The connection is idle: nothing was sent.
             }
         }
     }
 
-    /** Until the sidecar has looked at its sockets so often that it has read what was written to it. */
+    /** Waits until the sidecar has polled its sockets so often that it has read everything written to it. */
     static void awaitPasses(SidecarRig rig) throws IOException {
         Client other = rig.client();
-        for (int i = 0; i < 200; i++) { // each answer takes a pass at least
+        for (int i = 0; i < 200; i++) { // each answer takes at least one pass
             assertNotNull(
                     other.write("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").read());
         }
     }
 
-    /** Until the bound has gone by, without the time for which this machine had no core for the sidecar or for this test. */
+    /** Waits for the bound, not counting time in which the sidecar or this test had no core. */
     private static void awaitBound(SidecarRig rig) throws InterruptedException {
         long untilNanos = TimeUnit.MILLISECONDS.toNanos(BOUND_MS);
         for (long countedNanos = 0; countedNanos < untilNanos; ) {
-            countedNanos += oneLook(rig).nanos();
+            countedNanos += pollOnce(rig).nanos();
         }
     }
 
-    /** What the sidecar said when it was asked how many requests it has in hand, and the time since the look before. */
-    private record Look(int inHand, long nanos) {}
+    /** The number of requests in progress, and the counted time since the previous poll. */
+    private record Poll(int inProgress, long nanos) {}
 
     /**
-     * Asks once, after a ms. The sidecar answers in its next pass, so that what goes beyond {@link #LONGEST_LOOK_MS} is time for
-     * which this machine had no core for one of the two, and is left out.
+     * Polls once, after 1 ms. The sidecar answers in its next pass, so that time beyond {@link #MAX_POLL_MS} is time in
+     * which this machine had no core for the sidecar or for this test; it is not counted.
      */
-    private static Look oneLook(SidecarRig rig) throws InterruptedException {
+    private static Poll pollOnce(SidecarRig rig) throws InterruptedException {
         long fromNanos = System.nanoTime();
         Thread.sleep(1);
-        int inHand = rig.sidecar.requestsInProgress();
-        return new Look(
-                inHand, Math.min(System.nanoTime() - fromNanos, TimeUnit.MILLISECONDS.toNanos(LONGEST_LOOK_MS)));
+        int inProgress = rig.sidecar.requestsInProgress();
+        return new Poll(
+                inProgress, Math.min(System.nanoTime() - fromNanos, TimeUnit.MILLISECONDS.toNanos(MAX_POLL_MS)));
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whileAConnectionComesUp(boolean cancel) throws Exception {
+    void whileAConnectionIsOpened(boolean cancel) throws Exception {
         try (LateListener node = new LateListener();
                 SidecarRig rig = rig(host("s-1", node.address()), cancel)) {
             rig.client().write(SidecarRig.submit("a", 5) + "hello").close();
             Client resets = rig.client();
             resets.write(SidecarRig.read("b")).reset();
-            Client leavesWithItsLastByte = rig.client().write(SidecarRig.submit("c", 5) + "hell");
+            Client disconnectsAfterLastByte = rig.client().write(SidecarRig.submit("c", 5) + "hell");
             awaitPasses(rig);
-            leavesWithItsLastByte.write("o").close();
+            disconnectsAfterLastByte.write("o").close();
             awaitBound(rig);
-            assertNothingIsSent(node);
+            assertNothingIsForwarded(node);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aBurstThatLeavesAtOnce(boolean cancel) throws Exception {
+    void aBurstThatDisconnectsAtOnce(boolean cancel) throws Exception {
         try (LateListener node = new LateListener();
                 SidecarRig rig = rig(host("s-1", node.address()), cancel)) {
             List<Client> clients = new ArrayList<>();
@@ -128,51 +129,51 @@
                 clients.add(rig.client().write(SidecarRig.read("b" + i)));
             }
             for (Client each : clients) {
-                each.socket.shutdownOutput(); // the end stands right behind the request
+                each.socket.shutdownOutput(); // the end of the connection directly follows the request
             }
             awaitBound(rig);
-            assertNothingIsSent(node);
+            assertNothingIsForwarded(node);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void withMoreThanIsKeptBehindIt(boolean cancel) throws Exception {
+    void withMorePipelinedRequestsThanAreQueued(boolean cancel) throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         FakeServer node = FakeServer.holding(left, FakeServer.OK);
         try (node;
                 SidecarRig rig = rig(host("s-1", node.address()), cancel)) {
-            StringBuilder many = new StringBuilder();
+            StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < 3000; i++) {
-                many.append(SidecarRig.read("m" + i));
+                pipelined.append(SidecarRig.read("m" + i));
             }
             Client client = rig.client().write(SidecarRig.read("first"));
             assertNotNull(node.nextRequest());
-            client.write(many.toString()).close();
+            client.write(pipelined.toString()).close();
             awaitBound(rig);
             left.countDown();
-            assertNull(node.requests.poll(500, TimeUnit.MILLISECONDS), "what waited behind it was sent on");
+            assertNull(node.requests.poll(500, TimeUnit.MILLISECONDS), "a pipelined request was forwarded");
         }
     }
 
-    /** The time until the sidecar has no request in hand, in ms; see {@link #oneLook}. */
-    private static long untilNoneIsInHand(SidecarRig rig) throws InterruptedException {
+    /** Returns the time in milliseconds until the sidecar has no request in progress; see {@link #pollOnce}. */
+    private static long awaitNoneInProgress(SidecarRig rig) throws InterruptedException {
         long countedNanos = 0;
-        for (Look look = oneLook(rig); look.inHand() > 0; look = oneLook(rig)) {
-            countedNanos += look.nanos();
+        for (Poll poll = pollOnce(rig); poll.inProgress() > 0; poll = pollOnce(rig)) {
+            countedNanos += poll.nanos();
         }
         return TimeUnit.NANOSECONDS.toMillis(countedNanos);
     }
 
-    /** Sockets hold megabytes, and the client's end stands behind them. The best of some plays counts: this machine may be busy. */
+    /** Sockets buffer megabytes before the client's end. The best try counts, because this machine may be busy. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void withAsMuchAsTheSocketsHoldBehindIt(boolean readable) throws Exception {
+    void withFullSocketBuffersBehindIt(boolean readable) throws Exception {
         FakeServer node = new FakeServer(connection -> {
-            while (connection.read() != null) { // takes requests and answers none
+            while (connection.read() != null) { // reads requests and answers none
             }
         });
-        byte[] much = readable
+        byte[] bufferedBytes = readable
                 ? SidecarRig.read("m").repeat(300_000).getBytes(StandardCharsets.ISO_8859_1)
                 : new byte[30_000_000];
         try (node;
@@ -190,24 +191,24 @@
                                 ByteBuffer.wrap("\u0001\u0002 no HTTP\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1)));
                     }
                     client.configureBlocking(false);
-                    ByteBuffer rest = ByteBuffer.wrap(much);
+                    ByteBuffer rest = ByteBuffer.wrap(bufferedBytes);
                     long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(200);
                     while (rest.hasRemaining() && System.nanoTime() < untilNanos) {
                         client.write(rest);
                     }
                 }
-                bestMs = Math.min(bestMs, untilNoneIsInHand(rig));
+                bestMs = Math.min(bestMs, awaitNoneInProgress(rig));
             }
-            assertTrue(bestMs <= BOUND_MS, "its end was seen after " + bestMs + " ms");
+            assertTrue(bestMs <= BOUND_MS, "the disconnect was detected after " + bestMs + " ms");
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void withSomethingUnreadableBehindIt(boolean cancel) throws Exception {
+    void withMalformedDataBehindIt(boolean cancel) throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        FakeServer node =
-                FakeServer.holding(left, FakeServer.REJECTED); // a proof that it has not run: it may go to another one
+        FakeServer node = FakeServer.holding(
+                left, FakeServer.REJECTED); // proves that the request has not run, so that it can go to another node
         try (node;
                 SidecarRig rig = rig(host("s-1", node.address()) + "," + host("s-2", node.address()), cancel)) {
             Client client = rig.client().write(SidecarRig.submit("a", 5) + "hello");
@@ -217,29 +218,29 @@
                     .close();
             awaitBound(rig);
             left.countDown();
-            assertNull(node.requests.poll(500, TimeUnit.MILLISECONDS), "it was sent again");
+            assertNull(node.requests.poll(500, TimeUnit.MILLISECONDS), "the request was sent again");
         }
     }
 
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
-    void whileItsAttemptIsTurnedAway(boolean cancel, boolean reset) throws Exception {
+    void whileItsAttemptIsRejected(boolean cancel, boolean reset) throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         FakeServer node = FakeServer.holding(left, FakeServer.REJECTED);
         try (node;
                 SidecarRig rig = rig(host("s-1", node.address()) + "," + host("s-2", node.address()), cancel)) {
             Client client = rig.client().write(SidecarRig.submit("a", 5) + "hello");
             assertNotNull(node.nextRequest());
-            client.leave(reset);
+            client.disconnect(reset);
             awaitBound(rig);
             left.countDown();
-            assertNull(node.requests.poll(500, TimeUnit.MILLISECONDS), "it was sent again");
+            assertNull(node.requests.poll(500, TimeUnit.MILLISECONDS), "the request was sent again");
         }
     }
 
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
-    void whileItWaitsForRoomAtANode(boolean cancel, boolean reset) throws Exception {
+    void whileItWaitsForCapacityAtANode(boolean cancel, boolean reset) throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         FakeServer node = FakeServer.holding(left, FakeServer.OK);
         try (node;
@@ -252,26 +253,26 @@
                 Thread.sleep(1);
             }
             awaitPasses(rig);
-            Thread.sleep(SENT_MS);
+            Thread.sleep(DELIVERY_MS);
             int sent = node.requests.size();
             node.requests.forEach(request -> clients.remove(request.replaceAll("(?s).*Call-Id: (\\S+).*", "$1")));
-            assertTrue(clients.size() >= 10, "too few wait: " + clients.size());
+            assertTrue(clients.size() >= 10, "too few requests wait: " + clients.size());
             for (Client waits : clients.values()) {
-                waits.leave(reset);
+                waits.disconnect(reset);
             }
             awaitBound(rig);
             left.countDown();
             while (rig.sidecar.requestsInProgress() > 0) {
                 Thread.sleep(1);
             }
-            Thread.sleep(SENT_MS);
-            assertEquals(sent, node.requests.size(), "what waited was sent on");
+            Thread.sleep(DELIVERY_MS);
+            assertEquals(sent, node.requests.size(), "a waiting request was forwarded");
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whileTheClientTakesNoneOfItsAnswers(boolean cancel) throws Exception {
+    void whileTheClientReadsNoAnswers(boolean cancel) throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + "x".repeat(1_000_000);
         FakeServer node = new FakeServer(connection -> {
             for (String request = connection.read(); request != null; request = connection.read()) {
@@ -281,13 +282,13 @@
         try (node;
                 SidecarRig rig = rig(host("s-1", node.address()), cancel)) {
             Client client = rig.client();
-            StringBuilder many = new StringBuilder();
-            for (int i = 0; i < 40; i++) { // their answers are far more than the sockets hold
-                many.append(SidecarRig.read("m" + i));
+            StringBuilder pipelined = new StringBuilder();
+            for (int i = 0; i < 40; i++) { // their answers exceed the socket buffers by far
+                pipelined.append(SidecarRig.read("m" + i));
             }
-            client.write(many.toString());
+            client.write(pipelined.toString());
             int before = -1;
-            while (before != node.requests.size() || before == 0) { // until nothing moves any more
+            while (before != node.requests.size() || before == 0) { // until the transfer has stopped
                 before = node.requests.size();
                 Thread.sleep(400);
             }
@@ -295,18 +296,18 @@
             awaitBound(rig);
             int sent = node.requests.size();
             client.socket.setSoTimeout(500);
-            try { // now there is room for answers again
+            try { // the answers can be sent again
                 client.socket.getInputStream().readNBytes(30_000_000);
             } catch (IOException e) {
-                // The sidecar has ended it.
+                // The sidecar has closed the connection.
             }
-            assertEquals(sent, node.requests.size(), "what waited was sent on");
+            assertEquals(sent, node.requests.size(), "a waiting request was forwarded");
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whileNobodyTakesItsLongBody(boolean cancel) throws Exception {
+    void whileNoNodeReadsItsLongBody(boolean cancel) throws Exception {
         for (int bytes : new int[] {200_000, 3_000_000}) {
             try (LateListener node = new LateListener();
                     SidecarRig rig = rig(host("s-1", node.address()), cancel)) {
@@ -316,21 +317,24 @@
                         client.write(SidecarRig.submit("long", bytes)).write(new byte[Math.min(bytes, 400_000)]);
                         client.close();
                     } catch (IOException e) {
-                        // It is taken no further.
+                        // The sidecar reads no more of it.
                     }
                 });
                 writer.start();
                 writer.join(TimeUnit.SECONDS.toMillis(2));
                 awaitBound(rig);
-                assertNothingIsSent(node);
+                assertNothingIsForwarded(node);
             }
         }
     }
 
-    /** More than is read ahead of a body stands in the socket with the client's end behind it: its last byte is not sent on. */
+    /**
+     * More of a body than is read ahead is buffered in the socket, followed by the end of the client's connection: its
+     * last byte is not forwarded.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whileTheRestOfItsLongBodyStandsInTheSocket(boolean cancel) throws Exception {
+    void whileTheRestOfItsLongBodyIsBufferedInTheSocket(boolean cancel) throws Exception {
         int bytes = 1_000_000;
         try (LateListener node = new LateListener();
                 SidecarRig rig = rig(host("s-1", node.address()), cancel)) {
@@ -338,41 +342,41 @@
             client.socket.shutdownOutput();
             awaitBound(rig);
             node.letIn();
-            Socket late = node.next(4000);
-            if (late != null) {
-                late.setSoTimeout(1000);
-                int came = 0;
+            Socket accepted = node.next(4000);
+            if (accepted != null) {
+                accepted.setSoTimeout(1000);
+                int receivedBytes = 0;
                 byte[] part = new byte[65_536];
                 try {
-                    for (int count = late.getInputStream().read(part);
+                    for (int count = accepted.getInputStream().read(part);
                             count >= 0;
-                            count = late.getInputStream().read(part)) {
-                        came += count;
+                            count = accepted.getInputStream().read(part)) {
+                        receivedBytes += count;
                     }
                 } catch (IOException e) {
-                    // A reset, or nothing more: it is not whole.
+                    // A reset or a timeout: the body is incomplete.
                 }
-                assertTrue(came < bytes, "all of it was sent on");
+                assertTrue(receivedBytes < bytes, "the complete body was forwarded");
             }
         }
     }
 
     @Test
-    void aClientThatStaysIsServedAllTheSame() throws Exception {
+    void aClientThatStaysIsServed() throws Exception {
         try (LateListener node = new LateListener();
                 SidecarRig rig = rig(host("s-1", node.address()), false)) {
             Client client = rig.client().write(SidecarRig.read("stays"));
             node.letIn();
-            Socket late = node.next(4000);
-            late.getInputStream().read(new byte[2000]);
-            late.getOutputStream().write(FakeServer.OK.getBytes(StandardCharsets.ISO_8859_1));
+            Socket accepted = node.next(4000);
+            accepted.getInputStream().read(new byte[2000]);
+            accepted.getOutputStream().write(FakeServer.OK.getBytes(StandardCharsets.ISO_8859_1));
             assertTrue(client.read().endsWith("body"));
         }
     }
 
-    /** A node is told what is left to the client when its request leaves, not what was when its connection was begun. */
+    /** A node gets the budget that is left when its request is sent, not when its connection was started. */
     @Test
-    void whatWaitedForItsConnectionTellsWhatIsLeft() throws Exception {
+    void aRequestThatWaitedForItsConnectionForwardsTheRemainingBudget() throws Exception {
         try (LateListener node = new LateListener();
                 SidecarRig rig = rig(host("s-1", node.address()), false)) {
             rig.client().write(SidecarRig.read("waits"));
@@ -380,15 +384,17 @@
                 Thread.sleep(1);
             }
             long waitsNanos = System.nanoTime();
-            Thread.sleep(SENT_MS);
+            Thread.sleep(DELIVERY_MS);
             long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - waitsNanos);
             node.letIn();
-            Socket late = node.next(4000);
+            Socket accepted = node.next(4000);
             byte[] request = new byte[2000];
-            int count = late.getInputStream().read(request);
+            int count = accepted.getInputStream().read(request);
             String head = new String(request, 0, count, StandardCharsets.ISO_8859_1);
-            int toldMs = Integer.parseInt(head.replaceAll("(?s).*X-Budget-Ms: (\\d+)\r\n.*", "$1"));
-            assertTrue(toldMs > 0 && toldMs <= 6000 - waitedMs, toldMs + " ms told after " + waitedMs + " of 6000 ms");
+            int forwardedBudgetMs = Integer.parseInt(head.replaceAll("(?s).*X-Budget-Ms: (\\d+)\r\n.*", "$1"));
+            assertTrue(
+                    forwardedBudgetMs > 0 && forwardedBudgetMs <= 6000 - waitedMs,
+                    forwardedBudgetMs + " ms forwarded after " + waitedMs + " of 6000 ms");
         }
     }
 }
--- a/src/test/java/ivybank/daemon/EventLoopStallTest.java
+++ b/src/test/java/ivybank/daemon/EventLoopStallTest.java
@@ -27,14 +27,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The event loop stands still (a process that is stopped, a machine that is moved or overloaded) while clients leave and nodes
- * drain: what it finds first when it goes on must not be sent before it has seen the rest.
+ * The event loop stalls (the process is stopped, or the machine is migrated or overloaded) while clients disconnect and
+ * nodes drain. What the loop reads first afterwards must not be forwarded before it has read the rest.
  */
 @Timeout(30)
-class HeldUpLoopTest {
+class EventLoopStallTest {
 
-    /** More than the 500 ms of a drain; for clients that leave also a little more than the 100 ms after which nothing is sent on. */
-    private static final int HELD_UP_MS = 700;
+    /**
+     * Longer than the 500 ms grace of a drain. Tests of disconnected clients also use a stall slightly longer than the
+     * 100 ms after which nothing may be forwarded.
+     */
+    private static final int STALL_MS = 700;
 
     private static final int SETTLED_MS = 500;
 
@@ -43,11 +46,11 @@
 
     private final SidecarRig.Options options = new SidecarRig.Options();
     private final CountDownLatch halted = new CountDownLatch(1);
-    private final CountDownLatch go = new CountDownLatch(1);
+    private final CountDownLatch proceed = new CountDownLatch(1);
 
     @BeforeEach
-    void halts() {
-        options.lines = HaltingLines.at("reloading the configuration", halted, go);
+    void haltOnReload() {
+        options.logLines = HaltingLines.at("reloading the configuration", halted, proceed);
     }
 
     private void halt(SidecarRig rig) throws InterruptedException {
@@ -55,20 +58,20 @@
         halted.await();
     }
 
-    private void goOn() throws InterruptedException {
-        goOnAfter(HELD_UP_MS);
+    private void endStall() throws InterruptedException {
+        endStallAfter(STALL_MS);
     }
 
-    private void goOnAfter(int heldUpMs) throws InterruptedException {
-        Thread.sleep(heldUpMs);
-        go.countDown();
+    private void endStallAfter(int stallMs) throws InterruptedException {
+        Thread.sleep(stallMs);
+        proceed.countDown();
     }
 
     private static String ready(String name, FakeServer node) {
         return SidecarRig.host(name, node.address(), "Ready");
     }
 
-    /** Asks until each node has served, so that each has a connection that is up, and has rested. */
+    /** Sends requests until each node has served one, so that each has an open and rested connection. */
     private static void warm(SidecarRig rig, FakeServer... nodes) throws Exception {
         Client client = rig.client();
         for (FakeServer node : nodes) {
@@ -86,7 +89,7 @@
 
     @ParameterizedTest
     @CsvSource({"true, 110", "false, 110", "true, 700", "false, 700"})
-    void whoAskedAndLeftMeanwhileIsNotSentOn(boolean cancel, int heldUpMs) throws Exception {
+    void requestsOfClientsThatLeaveDuringAStallAreNotForwarded(boolean cancel, int stallMs) throws Exception {
         options.cancel = cancel;
         FakeServer node = FakeServer.answering(FakeServer.OK);
         try (node;
@@ -98,11 +101,11 @@
             halt(rig);
             open.write(SidecarRig.read("a")).close();
             rig.client().write(SidecarRig.submit("b", 5) + "hello").reset();
-            for (int i = 0; i < 40; i++) { // one in a pass is let in
+            for (int i = 0; i < 40; i++) { // one is accepted per pass
                 rig.client().write(SidecarRig.read("c" + i)).close();
             }
             Client stays = rig.client().write(SidecarRig.read("stays"));
-            goOnAfter(heldUpMs);
+            endStallAfter(stallMs);
             assertTrue(stays.read().endsWith("body"));
             Thread.sleep(SETTLED_MS);
             assertEquals(
@@ -110,14 +113,17 @@
                     node.requests.stream()
                             .map(request -> request.replaceAll("(?s).*Call-Id: (\\S+).*", "$1"))
                             .toList(),
-                    "sent on for who had left");
+                    "forwarded for a disconnected client");
         }
     }
 
-    /** The node's word is found before the client's end: the next attempt has to wait for the rest. */
+    /**
+     * The rejection by the node is read before the end of the client's connection: the next attempt has to wait until
+     * the rest is read.
+     */
     @ParameterizedTest
     @CsvSource({"true, 110", "false, 110", "true, 700", "false, 700"})
-    void whoLeftWhileItsAttemptWasTurnedAwayIsNotTriedAgain(boolean cancel, int heldUpMs) throws Exception {
+    void aRejectedAttemptIsNotRetriedForAClientThatLeftDuringAStall(boolean cancel, int stallMs) throws Exception {
         options.cancel = cancel;
         CountDownLatch rejects = new CountDownLatch(1);
         CountDownLatch rejected = new CountDownLatch(1);
@@ -146,17 +152,17 @@
             halt(rig);
             rejects.countDown();
             rejected.await();
-            Thread.sleep(20); // the answer is there before the end
+            Thread.sleep(20); // the answer arrives before the end of the connection
             client.close();
-            goOnAfter(heldUpMs);
+            endStallAfter(stallMs);
             Thread.sleep(SETTLED_MS);
-            assertEquals(1, one.requests.size() + two.requests.size(), "it was sent again");
+            assertEquals(1, one.requests.size() + two.requests.size(), "the request was sent again");
         }
     }
 
     @ParameterizedTest
     @CsvSource({"true, 110", "false, 110", "true, 700", "false, 700"})
-    void whoLeftWhileItsConnectionCameUpIsNotSentOn(boolean cancel, int heldUpMs) throws Exception {
+    void aRequestIsNotForwardedIfItsClientLeftWhileTheConnectionOpened(boolean cancel, int stallMs) throws Exception {
         options.cancel = cancel;
         try (LateListener node = new LateListener();
                 SidecarRig rig = new SidecarRig(
@@ -167,22 +173,22 @@
             }
             halt(rig);
             node.letIn();
-            Socket late = node.next(4000);
-            assertNotNull(late);
+            Socket accepted = node.next(4000);
+            assertNotNull(accepted);
             client.close();
-            goOnAfter(heldUpMs);
-            late.setSoTimeout(SETTLED_MS);
+            endStallAfter(stallMs);
+            accepted.setSoTimeout(SETTLED_MS);
             try {
-                assertEquals(-1, late.getInputStream().read(), "something was sent on");
+                assertEquals(-1, accepted.getInputStream().read(), "something was forwarded");
             } catch (SocketTimeoutException e) {
-                // It stands idle: nothing was sent.
+                // The connection is idle: nothing was sent.
             }
         }
     }
 
-    /** Its time counts from when it came, not from when it was found. */
+    /** The time of a request counts from its arrival, not from when it was read. */
     @Test
-    void whatCameMeanwhileIsAnsweredInItsTime() throws Exception {
+    void aRequestThatArrivesDuringAStallIsAnsweredInTime() throws Exception {
         options.deadlineMs = 1500;
         FakeServer node = new FakeServer(connection -> {
             for (String request = connection.read(); request != null; request = connection.read()) {
@@ -199,19 +205,20 @@
             halt(rig);
             long fromNanos = System.nanoTime();
             client.write(SidecarRig.submit("hangs", 5).replace("6000", "1500") + "hello");
-            goOn();
+            endStall();
             assertTrue(client.read().startsWith("HTTP/1.1 50"));
             long tookMs = (System.nanoTime() - fromNanos) / 1_000_000;
-            assertTrue(tookMs < 1900, "answered after " + tookMs + " of 1500 ms"); // 2200 if its time began anew
+            assertTrue(tookMs < 1900, "answered after " + tookMs + " of 1500 ms"); // 2200 ms if its time started over
         }
     }
 
     /**
-     * Where passes over the sockets are long, those that come do not wait for as many passes as there are of them: here each pass
-     * takes about 30 ms, for as many clients ask without a pause, and each look at the clock takes one.
+     * Where passes over the sockets are slow, new connections do not wait for as many passes as there are connections.
+     * Here each pass takes about 30 ms: this many clients send requests without a pause, and each reading of the clock
+     * takes 1 ms.
      */
     @Test
-    void onASlowMachineNobodyStandsInTheBacklogForLong() throws Exception {
+    void connectionsDoNotWaitLongInTheBacklogOnASlowMachine() throws Exception {
         AtomicBoolean slow = new AtomicBoolean();
         options.clock = new Clock(System.currentTimeMillis(), () -> {
             if (slow.get()) {
@@ -233,7 +240,7 @@
                             asked.incrementAndGet();
                         }
                     } catch (IOException e) {
-                        // The test is over.
+                        // The test has ended.
                     }
                 });
                 thread.setDaemon(true);
@@ -257,25 +264,27 @@
         }
     }
 
-    /** A drain that was written to the sidecar while it stood still counts from then on: its grace is over when it goes on. */
+    /**
+     * A drain message that arrived during the stall counts from its arrival: its grace is over when the loop continues.
+     */
     @Test
-    void aNodeThatWasToldToDrainMeanwhileGetsNothingNew() throws Exception {
+    void aNodeThatStartsToDrainDuringAStallGetsNoNewRequests() throws Exception {
         FakeServer drains = FakeServer.answering(FakeServer.OK);
         FakeServer stays = FakeServer.answering(FakeServer.OK);
         String before = ready("s-1", drains) + "," + ready("s-2", stays);
-        CountDownLatch tell = new CountDownLatch(1);
-        CountDownLatch told = new CountDownLatch(1);
+        CountDownLatch sendDrain = new CountDownLatch(1);
+        CountDownLatch drainSent = new CountDownLatch(1);
         FakeServer agent = new FakeServer(connection -> {
             connection.read();
             SidecarRig.answerList(connection, SidecarRig.list(9, before));
             connection.read();
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-            tell.await();
+            sendDrain.await();
             String line = SidecarRig.list(10, SidecarRig.host("s-1", drains.address(), "Terminating"))
                             .replace("true", "false")
                     + "\n";
             connection.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
-            told.countDown();
+            drainSent.countDown();
             connection.read();
         });
         try (drains;
@@ -294,13 +303,13 @@
             for (int i = 0; i < 12; i++) {
                 clients.get(i).write(SidecarRig.read("r" + i));
             }
-            tell.countDown();
-            told.await();
-            goOn();
+            sendDrain.countDown();
+            drainSent.await();
+            endStall();
             for (Client each : clients) {
                 assertTrue(each.read().endsWith("body"));
             }
-            assertTrue(drains.requests.isEmpty(), "sent to a node that drains: " + drains.requests);
+            assertTrue(drains.requests.isEmpty(), "sent to a draining node: " + drains.requests);
         }
     }
 }
--- a/src/test/java/ivybank/daemon/IdleClientsWithoutDiscoveryTest.java
+++ b/src/test/java/ivybank/daemon/IdleClientsWithoutDiscoveryTest.java
@@ -19,25 +19,28 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Idle clients take all descriptors that clients may have while discovery is down: discovery and nodes have others. */
+/**
+ * Idle clients use all descriptors that clients can have while discovery is down. Discovery and nodes have descriptors
+ * of their own, so that the watch recovers and requests are served.
+ */
 @Timeout(60)
-class CrowdWithoutDiscoveryTest {
+class IdleClientsWithoutDiscoveryTest {
 
-    /** More than the sidecar's 1,024 descriptors; of those it accepts at most seven in ten. */
-    private static final int CROWD = 1100;
+    /** More than the sidecar's 1,024 descriptors, of which it accepts at most seven in ten for clients. */
+    private static final int IDLE_CLIENTS = 1100;
 
-    private static final int ANSWERED_MS = 10_000;
+    private static final int ANSWER_TIMEOUT_MS = 10_000;
 
     @TempDir
     Path dir;
 
-    private final AtomicBoolean down = new AtomicBoolean(true);
+    private final AtomicBoolean discoveryDown = new AtomicBoolean(true);
     private final CountDownLatch called = new CountDownLatch(1);
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> idleClients = new ArrayList<>();
 
     private FakeServer agent(String list) throws IOException {
         return new FakeServer(connection -> {
-            if (down.get()) {
+            if (discoveryDown.get()) {
                 connection.socket.close();
                 return;
             }
@@ -50,9 +53,9 @@
         });
     }
 
-    /** Whether the other side ends the connection without a word. */
+    /** Returns whether the other side closes the connection without sending anything. */
     private static boolean isClosedUnread(Socket socket) throws IOException {
-        socket.setSoTimeout(ANSWERED_MS);
+        socket.setSoTimeout(ANSWER_TIMEOUT_MS);
         try {
             return socket.getInputStream().read() < 0;
         } catch (SocketException e) {
@@ -61,12 +64,13 @@
     }
 
     /**
-     * Asks on new connections until one is served, for {@link #ANSWERED_MS} at most. One that is closed unread is followed by
-     * another, and so is one that is refused while the crowd is over what is served: such an answer has to be a 503 that says
-     * when to come again, and its connection has to end. Anything else fails the test.
+     * Sends a request on new connections until one is served, for {@link #ANSWER_TIMEOUT_MS} at most. Retries where a
+     * connection is closed unread, and where a request is refused while there are more idle clients than are served:
+     * such an answer has to be a 503 with Retry-After, and its connection has to be closed. Anything else fails the
+     * test.
      */
     private static String askUntilServed(SidecarRig rig, String id) throws IOException {
-        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ANSWERED_MS);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ANSWER_TIMEOUT_MS);
         for (int i = 0; System.nanoTime() < endNanos; i++) {
             try (Client client = rig.client()) {
                 String answer = client.write(SidecarRig.read(id + i)).read();
@@ -76,10 +80,10 @@
                 assertTrue(answer == null || isRefusal(answer), answer);
                 assertTrue(answer == null || isClosedUnread(client.socket), "a refused connection stays open");
             } catch (SocketException e) {
-                // It was closed with the request unread.
+                // The connection was closed with the request unread.
             }
         }
-        throw new IOException("not served within " + ANSWERED_MS + " ms");
+        throw new IOException("not served within " + ANSWER_TIMEOUT_MS + " ms");
     }
 
     private static boolean isRefusal(String answer) {
@@ -88,7 +92,7 @@
     }
 
     @Test
-    void theWatchComesBackAndRequestsAreServed() throws Exception {
+    void theWatchIsReopenedAndRequestsAreServed() throws Exception {
         FakeServer before = FakeServer.answering(FakeServer.OK);
         FakeServer after = FakeServer.answering(FakeServer.OK);
         FakeServer agent = agent(SidecarRig.host("s-1", before.address(), "Terminating") + ","
@@ -101,19 +105,19 @@
                         agent.address(),
                         SidecarRig.host("s-1", before.address(), "Ready"),
                         new SidecarRig.Options())) {
-            for (int i = 0; i < CROWD; i++) {
+            for (int i = 0; i < IDLE_CLIENTS; i++) {
                 Client idle = rig.client();
-                crowd.add(idle.socket);
+                idleClients.add(idle.socket);
             }
             askUntilServed(rig, "down");
             assertEquals(
-                    1, before.requests.size(), "a node has a descriptor left, and nothing was sent for those refused");
-            down.set(false);
-            assertTrue(called.await(ANSWERED_MS, TimeUnit.MILLISECONDS), "the watch comes back");
-            for (int i = 0; after.requests.isEmpty(); i++) { // until the list has been read
+                    1, before.requests.size(), "a descriptor is left for a node, and refused requests were not sent");
+            discoveryDown.set(false);
+            assertTrue(called.await(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS), "the watch is not reopened");
+            for (int i = 0; after.requests.isEmpty(); i++) { // until the list has been applied
                 askUntilServed(rig, "up" + i + "-");
             }
-            for (Socket idle : crowd) {
+            for (Socket idle : idleClients) {
                 assertTrue(isClosedUnread(idle), "neither served nor closed");
             }
         }
--- a/src/test/java/ivybank/daemon/NodeKilledAfterAcceptTest.java
+++ b/src/test/java/ivybank/daemon/NodeKilledAfterAcceptTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node that resets connections as soon as it has accepted them, before it reads, as one does that is killed just then. */
+/**
+ * A node resets connections right after it has accepted them, before it reads, like a node that is killed at that
+ * moment.
+ */
 @Timeout(60)
 class NodeKilledAfterAcceptTest {
 
@@ -30,8 +33,8 @@
     @TempDir
     Path dir;
 
-    /** Resets each connection; every other one only after a whole request has been read from it. */
-    private static FakeServer killed() throws IOException {
+    /** Starts a node that resets each connection; every other one only after it has read a complete request. */
+    private static FakeServer resettingNode() throws IOException {
         AtomicInteger connections = new AtomicInteger();
         return new FakeServer(connection -> {
             if (connections.incrementAndGet() % 2 == 0) {
@@ -67,36 +70,36 @@
     }
 
     @Test
-    void anUnsafeRequestIsReadByOneNodeOnceAtMostAndAnswered() throws Exception {
-        FakeServer killed = killed();
-        FakeServer good = FakeServer.answering(FakeServer.OK);
-        try (killed;
-                good;
-                SidecarRig rig = rig(killed, good)) {
+    void anUnsafeRequestIsReadAtMostOnceAndAnswered() throws Exception {
+        FakeServer resettingNode = resettingNode();
+        FakeServer healthyNode = FakeServer.answering(FakeServer.OK);
+        try (resettingNode;
+                healthyNode;
+                SidecarRig rig = rig(resettingNode, healthyNode)) {
             for (int i = 0; i < REQUESTS; i++) {
                 String head = SidecarRig.submit("u" + i, BODY_BYTES);
                 assertAnswered(rig.client().write(head + "x".repeat(BODY_BYTES)).read(), head);
             }
-            Map<String, Integer> times = timesRead(killed, good);
-            assertTrue(!killed.accepted.isEmpty() && !times.isEmpty(), "the node that is killed was not met");
+            Map<String, Integer> times = timesRead(resettingNode, healthyNode);
+            assertTrue(!resettingNode.accepted.isEmpty() && !times.isEmpty(), "the resetting node got no connection");
             times.forEach((id, read) -> assertEquals(1, read, id));
         }
     }
 
     @Test
     void aSafeRequestIsServedByAnotherNode() throws Exception {
-        FakeServer killed = killed();
-        FakeServer good = FakeServer.answering(FakeServer.OK);
-        try (killed;
-                good;
-                SidecarRig rig = rig(killed, good)) {
+        FakeServer resettingNode = resettingNode();
+        FakeServer healthyNode = FakeServer.answering(FakeServer.OK);
+        try (resettingNode;
+                healthyNode;
+                SidecarRig rig = rig(resettingNode, healthyNode)) {
             int served = 0;
             for (int i = 0; i < REQUESTS; i++) {
                 String answer = rig.client().write(SidecarRig.read("s" + i)).read();
                 assertAnswered(answer, "s" + i);
                 served += answer.startsWith("HTTP/1.1 200") ? 1 : 0;
             }
-            assertTrue(!killed.accepted.isEmpty(), "the node that is killed was not met");
+            assertTrue(!resettingNode.accepted.isEmpty(), "the resetting node got no connection");
             assertEquals(REQUESTS, served);
         }
     }
--- a/src/test/java/ivybank/daemon/OperationsTest.java
+++ b/src/test/java/ivybank/daemon/OperationsTest.java
@@ -41,7 +41,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as processes of its own, with operators at its door: two of them share the clients' socket. */
+/**
+ * Runs the program as separate processes with calls to their admin endpoints; two processes share the clients'
+ * listening socket.
+ */
 @Timeout(60)
 class OperationsTest {
 
@@ -57,12 +60,12 @@
     private int port;
     private int asked;
 
-    /** A discovery that gives a list, then each line that it is handed. */
-    private final class Roster {
+    /** A discovery that returns a list, then each line that it is given. */
+    private final class DiscoveryStub {
         final BlockingQueue<String> later = new LinkedBlockingQueue<>();
         final FakeServer server;
 
-        Roster(String... hosts) throws IOException {
+        DiscoveryStub(String... hosts) throws IOException {
             String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}";
             server = serve(new FakeServer(connection -> {
                 for (String call = connection.read(); call != null; call = connection.read()) {
@@ -97,23 +100,23 @@
         port = platform.port();
     }
 
-    /** Further settings in the environment of each process. */
-    private String more = "";
+    /** Additional environment variables of each process, as shell assignments. */
+    private String extraEnvironment = "";
 
     /** One process of the sidecar. */
-    private final class Started {
-        final int door;
+    private final class SidecarProcess {
+        final int adminPort;
         final long pid;
 
-        Started(Roster roster) throws IOException, InterruptedException {
-            this(roster, true);
+        SidecarProcess(DiscoveryStub discovery) throws IOException, InterruptedException {
+            this(discovery, true);
         }
 
-        Started(Roster roster, boolean untilItServes) throws IOException, InterruptedException {
+        SidecarProcess(DiscoveryStub discovery, boolean untilItServes) throws IOException, InterruptedException {
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                door = free.getLocalPort();
+                adminPort = free.getLocalPort();
             }
-            Path config = Files.writeString(dir.resolve("config-" + door + ".json"), """
+            Path config = Files.writeString(dir.resolve("config-" + adminPort + ".json"), """
                     {"name":"n0","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"ff0e5a0000000001",
                      "control":"127.0.0.1:%d","limits":{"sockets":256},
                      "settings":{"instances":1,"tickMs":5,"tenants":[],
@@ -122,10 +125,12 @@
                                 "maxRetryAfterMs":1500,"connectTimeoutMs":250,"connIdleMs":60000},
                       "report":{"via":"inline","fields":[]},"failureDomains":["a"],"kinds":["k"]}}
                     """.formatted(
-                            port, roster.server.address().getPort(), door));
-            String command = "TMPDIR='" + dir + "' EDGE_INHERITED_FD=0 EDGE_CONFIG='" + config + "' " + more + "exec '"
+                            port, discovery.server.address().getPort(), adminPort));
+            String command = "TMPDIR='" + dir + "' EDGE_INHERITED_FD=0 EDGE_CONFIG='" + config + "' " + extraEnvironment
+                    + "exec '"
                     + Path.of(System.getProperty("java.home"), "bin", "java") + "' -XX:TieredStopAtLevel=1 -cp '"
-                    + System.getProperty("java.class.path") + "' ivybank.Main serve > '" + dir.resolve(door + ".log")
+                    + System.getProperty("java.class.path") + "' ivybank.Main serve > '"
+                    + dir.resolve(adminPort + ".log")
                     + "' 2>&1 9>&-";
             pid = platform.start(command);
             ProcessHandle process = ProcessHandle.of(pid).orElseThrow();
@@ -138,7 +143,7 @@
 
         int call(String method, String path, String body) throws IOException, InterruptedException {
             return http.send(
-                            HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + door + path))
+                            HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + adminPort + path))
                                     .timeout(Duration.ofSeconds(5))
                                     .method(method, BodyPublishers.ofString(body))
                                     .build(),
@@ -154,16 +159,16 @@
             }
         }
 
-        int out(String node) throws IOException, InterruptedException {
+        int enterMaintenance(String node) throws IOException, InterruptedException {
             return call("PUT", "/maintenance/enter", "{\"host\":\"" + node + "\"}");
         }
 
-        int back(String node) throws IOException, InterruptedException {
+        int exitMaintenance(String node) throws IOException, InterruptedException {
             return call("PUT", "/maintenance/exit", "{\"host\":\"" + node + "\"}");
         }
     }
 
-    /** One request on a connection of its own; what it says. */
+    /** Sends one request on a connection of its own and returns the answer. */
     private String ask() throws IOException {
         try (Socket socket = connect()) {
             return ask(socket, "read");
@@ -206,29 +211,29 @@
     }
 
     @Test
-    void aNodeThatIsOutGetsNothingWhateverTheListSaysAndOverAnUpgradeUntilItIsCalledBack() throws Exception {
+    void aNodeInMaintenanceGetsNoRequestsAcrossAnUpgradeUntilItLeaves() throws Exception {
         FakeServer a = serve(node("a..."));
         FakeServer b = serve(node("b..."));
-        Roster roster = new Roster(host("a", a, "Ready", 0), host("b", b, "Ready", 0));
+        DiscoveryStub discovery = new DiscoveryStub(host("a", a, "Ready", 0), host("b", b, "Ready", 0));
         startPlatform();
-        Started first = new Started(roster);
-        assertEquals(404, first.out("nobody"));
-        assertEquals(404, first.back("nobody"));
+        SidecarProcess first = new SidecarProcess(discovery);
+        assertEquals(404, first.enterMaintenance("nobody"));
+        assertEquals(404, first.exitMaintenance("nobody"));
         assertEquals(400, first.call("PUT", "/maintenance/enter", "{"));
         assertEquals(400, first.call("PUT", "/maintenance/enter", "{\"node\":\"a\"}"));
         assertEquals(405, first.call("GET", "/maintenance/enter", "{\"host\":\"a\"}"));
         assertEquals(404, first.call("GET", "/other", ""));
-        assertEquals(200, first.out("a"));
-        assertEquals(200, first.out("a"), "one that is out already");
-        roster.later.add("{\"seq\":2,\"whole\":false,\"hosts\":[" + host("a", a, "Gone", 0) + "]}");
-        roster.later.add(
+        assertEquals(200, first.enterMaintenance("a"));
+        assertEquals(200, first.enterMaintenance("a"), "a node that is already in maintenance");
+        discovery.later.add("{\"seq\":2,\"whole\":false,\"hosts\":[" + host("a", a, "Gone", 0) + "]}");
+        discovery.later.add(
                 "{\"seq\":3,\"whole\":false,\"hosts\":[" + host("a", a, "Ready", System.currentTimeMillis()) + "]}");
         assertAllFrom("b...");
-        Started second = new Started(roster);
+        SidecarProcess second = new SidecarProcess(discovery);
         kill(first.pid, "TERM");
         ProcessHandle.of(first.pid).ifPresent(process -> process.onExit().join());
         assertAllFrom("b...");
-        assertEquals(200, second.back("a"));
+        assertEquals(200, second.exitMaintenance("a"));
         while (!ask().endsWith("a...")) {
             Thread.sleep(5);
         }
@@ -246,17 +251,17 @@
     }
 
     @Test
-    void anOrderToTheProcessThatTakesOverHoldsInTheOldOne() throws Exception {
+    void anOrderToTheNewProcessAppliesToTheOldOne() throws Exception {
         FakeServer a = serve(node("a..."));
         FakeServer b = serve(node("b..."));
-        Roster roster = new Roster(host("a", a, "Ready", 0), host("b", b, "Ready", 0));
+        DiscoveryStub discovery = new DiscoveryStub(host("a", a, "Ready", 0), host("b", b, "Ready", 0));
         startPlatform();
-        new Started(roster);
+        new SidecarProcess(discovery);
         try (Socket toFirst = connect()) {
             assertTrue(ask(toFirst, "read").contains(" 200 "));
-            Started second = new Started(roster);
-            assertEquals(200, second.out("a"));
-            // Within the grace: the processes look each 100 ms.
+            SidecarProcess second = new SidecarProcess(discovery);
+            assertEquals(200, second.enterMaintenance("a"));
+            // Within the drain grace, in which each process polls the file several times.
             Thread.sleep(500);
             for (int i = 0; i < 40; i++) {
                 assertTrue(ask(toFirst, "read").endsWith("b..."));
@@ -265,26 +270,26 @@
     }
 
     @Test
-    void noRequestEndsAtTheDoorWhileOneProcessTakesOverFromTheOther() throws Exception {
+    void noRequestIsLostWhileOneProcessTakesOverFromTheOther() throws Exception {
         FakeServer a = serve(node("a..."));
-        Roster roster = new Roster(host("a", a, "Ready", 0));
+        DiscoveryStub discovery = new DiscoveryStub(host("a", a, "Ready", 0));
         startPlatform();
-        Started first = new Started(roster);
+        SidecarProcess first = new SidecarProcess(discovery);
         Socket kept = connect();
         toClose.add(kept);
         assertTrue(ask(kept, "read").contains(" 200 "));
-        Started second = new Started(roster);
-        assertTrue(says(second, "another process of this sidecar is here"), "when it began to serve");
+        SidecarProcess second = new SidecarProcess(discovery);
+        assertTrue(logContains(second, "another process of this sidecar is here"), "logged before it serves");
         kill(first.pid, "TERM");
         while (ProcessHandle.of(first.pid).isPresent()) {
             assertTrue(ask().contains(" 200 "));
-            if (kept != null) { // its next answer sends it to the other process
+            if (kept != null) { // closed with its next answer, so that the client reconnects
                 String answer = ask(kept, "read");
                 assertTrue(answer.contains(" 200 "), answer);
                 kept = answer.contains("connection: close") ? null : kept;
             }
         }
-        while (!says(second, "no other process of this sidecar is here any more")) {
+        while (!logContains(second, "no other process of this sidecar is here any more")) {
             Thread.sleep(20);
         }
         assertNull(kept, "the old process ended while it held a connection");
@@ -292,39 +297,39 @@
     }
 
     @Test
-    void theProcessThatTakesOverBeginsWithWhatTheOldOneHasLearnedAlsoWhereAnotherFileIsSpoilt() throws Exception {
+    void theNewProcessInheritsLearnedStateEvenNextToACorruptFile() throws Exception {
         FakeServer a = serve(node("a..."));
-        Roster roster = new Roster(host("a", a, "Ready", 0));
+        DiscoveryStub discovery = new DiscoveryStub(host("a", a, "Ready", 0));
         startPlatform();
         Files.write(dir.resolve("ivybank-1.memory"), new byte[] {1, 2, 3});
-        Started first = new Started(roster);
-        assertTrue(says(first, "ivybank-1.memory is of no use, and removed"));
-        assertFalse(says(first, "taking over what"));
+        SidecarProcess first = new SidecarProcess(discovery);
+        assertTrue(logContains(first, "ivybank-1.memory is of no use, and removed"));
+        assertFalse(logContains(first, "taking over what"));
         assertTrue(ask().contains(" 200 "));
-        Started killed = new Started(roster, false);
-        while (!says(first, "another process of this sidecar is here")) {
+        SidecarProcess killed = new SidecarProcess(discovery, false);
+        while (!logContains(first, "another process of this sidecar is here")) {
             Thread.sleep(5);
         }
-        kill(killed.pid, "KILL"); // before its yes: the old one goes on as if nothing were
-        while (!says(first, "no other process of this sidecar is here any more")) {
+        kill(killed.pid, "KILL"); // before it is ready: the old process continues unaffected
+        while (!logContains(first, "no other process of this sidecar is here any more")) {
             Thread.sleep(5);
         }
         assertTrue(ask().contains(" 200 "));
-        Started second = new Started(roster);
-        assertTrue(says(second, "taking over what another process has learned of 1 nodes"));
-        kill(first.pid, "KILL"); // in the middle of writing, perhaps
+        SidecarProcess second = new SidecarProcess(discovery);
+        assertTrue(logContains(second, "taking over what another process has learned of 1 nodes"));
+        kill(first.pid, "KILL"); // possibly during a write
         while (ProcessHandle.of(first.pid).isPresent()) {
             Thread.sleep(5);
         }
-        Started third = new Started(roster);
-        assertTrue(says(third, "taking over what another process has learned of 1 nodes"));
+        SidecarProcess third = new SidecarProcess(discovery);
+        assertTrue(logContains(third, "taking over what another process has learned of 1 nodes"));
         assertTrue(ask().contains(" 200 "));
     }
 
     @Test
-    void overAnUpgradeTheOthersSeeOneSidecarThatNeverLeaves() throws Exception {
+    void duringAnUpgradePeersSeeOneSidecarThatNeverLeaves() throws Exception {
         FakeServer a = serve(node("a..."));
-        Roster roster = new Roster(host("a", a, "Ready", 0));
+        DiscoveryStub discovery = new DiscoveryStub(host("a", a, "Ready", 0));
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -335,7 +340,7 @@
         String list = addresses.stream()
                 .map(each -> "\"127.0.0.1:" + each.getPort() + "\"")
                 .collect(Collectors.joining(", "));
-        more = "EDGE_OPERATOR='"
+        extraEnvironment = "EDGE_OPERATOR='"
                 + Files.writeString(
                         dir.resolve("operator.toml"),
                         "[peers]\nkey_file = \"" + key + "\"\nlisten = \"127.0.0.1:"
@@ -344,7 +349,7 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         toClose.add(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly());
         Clock clock = Clock.system();
-        ByteArrayOutputStream seen = new ByteArrayOutputStream();
+        ByteArrayOutputStream otherLog = new ByteArrayOutputStream();
         PeerFleet other = new PeerFleet(
                 new PeerSettings(key, "ivybank", "", "", List.of(), null),
                 "other",
@@ -354,60 +359,60 @@
                 2,
                 group.next(),
                 clock,
-                new Log(new PrintStream(seen, true, StandardCharsets.UTF_8), clock),
+                new Log(new PrintStream(otherLog, true, StandardCharsets.UTF_8), clock),
                 count -> {});
         other.open(false);
         startPlatform();
-        Started first = new Started(roster);
-        awaitSaid(seen, "seat 0, life ");
-        Started second = new Started(roster);
-        while (!says(first, "another process of this sidecar speaks for it")) {
+        SidecarProcess first = new SidecarProcess(discovery);
+        awaitLogged(otherLog, "seat 0, life ");
+        SidecarProcess second = new SidecarProcess(discovery);
+        while (!logContains(first, "another process of this sidecar speaks for it")) {
             Thread.sleep(5);
         }
-        awaitSaid(seen, "has a new life");
+        awaitLogged(otherLog, "has a new life");
         kill(first.pid, "TERM");
         while (ProcessHandle.of(first.pid).isPresent()) {
             Thread.sleep(5);
         }
-        Started killed = new Started(roster, false); // and one that ends before it serves
-        while (!says(second, "another process of this sidecar speaks for it")) {
+        SidecarProcess killed = new SidecarProcess(discovery, false); // a process that ends before it serves
+        while (!logContains(second, "another process of this sidecar speaks for it")) {
             Thread.sleep(5);
         }
         kill(killed.pid, "KILL");
-        while (!says(second, "this process speaks for the sidecar again")) {
+        while (!logContains(second, "this process speaks for the sidecar again")) {
             Thread.sleep(5);
         }
-        Thread.sleep(3000); // as long as it takes to give one up
-        String said = seen.toString(StandardCharsets.UTF_8);
+        Thread.sleep(3000); // as long as it takes to declare a member dead
+        String said = otherLog.toString(StandardCharsets.UTF_8);
         assertFalse(said.contains("given up") || said.contains("has left"), said);
         assertTrue(other.asked().toCompletableFuture().get().contains("\"peers\":1"), said);
     }
 
-    private static void awaitSaid(ByteArrayOutputStream log, String what) throws InterruptedException {
+    private static void awaitLogged(ByteArrayOutputStream log, String what) throws InterruptedException {
         while (!log.toString(StandardCharsets.UTF_8).contains(what)) {
             Thread.sleep(5);
         }
     }
 
-    private boolean says(Started process, String line) throws IOException {
-        return Files.readString(dir.resolve(process.door + ".log")).contains(line);
+    private boolean logContains(SidecarProcess process, String line) throws IOException {
+        return Files.readString(dir.resolve(process.adminPort + ".log")).contains(line);
     }
 
     @Test
-    void aDrainedSidecarIsNotReadyLetsGoOfItsClientsAndTakesThemAgain() throws Exception {
+    void aSidecarOnStandbyIsNotReadyReleasesItsClientsAndAcceptsThemAgain() throws Exception {
         FakeServer a = serve(node("a..."));
         startPlatform();
-        Started sidecar = new Started(new Roster(host("a", a, "Ready", 0)));
+        SidecarProcess sidecar = new SidecarProcess(new DiscoveryStub(host("a", a, "Ready", 0)));
         Socket idle = connect();
         toClose.add(idle);
         assertTrue(ask(idle, "health/ready").contains(" 200 "));
         assertEquals(200, sidecar.call("PUT", "/standby", ""));
         long since = System.nanoTime();
-        assertTrue(ask().contains(" 200 "), "it still serves");
+        assertTrue(ask().contains(" 200 "), "the sidecar still serves");
         assertTrue(ask(idle, "health/ready").contains(" 503 "));
-        assertEquals(-1, idle.getInputStream().read(), "an idle connection is closed");
+        assertEquals(-1, idle.getInputStream().read(), "an idle connection is not closed");
         assertTrue(System.nanoTime() - since < TimeUnit.SECONDS.toNanos(4));
-        assertTrue(sidecar.ok("GET", "/status", ""), "the process runs on");
+        assertTrue(sidecar.ok("GET", "/status", ""), "the process does not run any more");
         assertEquals(200, sidecar.call("PUT", "/active", ""));
         try (Socket again = connect()) {
             assertTrue(ask(again, "health/ready").contains(" 200 "));
@@ -417,23 +422,24 @@
     }
 
     @Test
-    void callersThatNeverFinishKeepNobodyWaiting() throws Exception {
+    void unfinishedAdminCallsDoNotBlockOthers() throws Exception {
         FakeServer a = serve(node("a..."));
         startPlatform();
-        Started sidecar = new Started(new Roster(host("a", a, "Ready", 0)));
+        SidecarProcess sidecar = new SidecarProcess(new DiscoveryStub(host("a", a, "Ready", 0)));
         for (int i = 0; i < 40; i++) {
-            Socket mute = new Socket(InetAddress.getLoopbackAddress(), sidecar.door);
-            toClose.add(mute);
-            mute.getOutputStream()
+            Socket unfinished = new Socket(InetAddress.getLoopbackAddress(), sidecar.adminPort);
+            toClose.add(unfinished);
+            unfinished
+                    .getOutputStream()
                     .write("PUT /maintenance/enter HTTP/1.1\r\nContent-Length: 9\r\n\r\n{"
                             .getBytes(StandardCharsets.US_ASCII));
         }
-        assertEquals(200, sidecar.out("a"));
-        assertEquals(200, sidecar.back("a"));
+        assertEquals(200, sidecar.enterMaintenance("a"));
+        assertEquals(200, sidecar.exitMaintenance("a"));
     }
 
     @Test
-    void anInheritedDescriptorThatIsNoListeningSocketEndsTheStartWithOneLine() throws Exception {
+    void anInheritedDescriptorThatIsNotAListenerFailsTheStartInOneLine() throws Exception {
         ProcessBuilder builder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
--- a/src/test/java/ivybank/daemon/PipeliningClientTest.java
+++ b/src/test/java/ivybank/daemon/PipeliningClientTest.java
@@ -14,9 +14,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A client that sends many requests ahead on one connection: what is kept of them, what is refused, and where it ends. */
+/**
+ * A client pipelines many requests on one connection: tests how many are queued, how many are refused, and when the
+ * connection is closed.
+ */
 @Timeout(30)
-class FloodingClientTest {
+class PipeliningClientTest {
 
     @TempDir
     Path dir;
@@ -27,27 +30,30 @@
         return new SidecarRig(dir, FakeServer.nobody(), SidecarRig.host("s-1", node.address(), "Ready"), options);
     }
 
-    /** A client with a request at the node and so many behind it, all of which the sidecar has read. */
-    private static Client flood(SidecarRig rig, FakeServer node, int requests) throws Exception {
+    /**
+     * Returns a client with one request at the node and this many pipelined behind it, all of which the sidecar has
+     * read.
+     */
+    private static Client pipeline(SidecarRig rig, FakeServer node, int requests) throws Exception {
         Client client = rig.client().write(SidecarRig.read("first"));
         assertNotNull(node.nextRequest());
-        StringBuilder many = new StringBuilder();
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < requests; i++) {
-            many.append(SidecarRig.read("m" + i));
+            pipelined.append(SidecarRig.read("m" + i));
         }
-        client.write(many.toString());
-        DepartedClientTest.awaitPasses(rig);
+        client.write(pipelined.toString());
+        DisconnectedClientTest.awaitPasses(rig);
         return client;
     }
 
     @Test
-    void whatIsMoreThanMayWaitIsRefusedInItsTurn() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = FakeServer.holding(go, FakeServer.OK);
+    void requestsBeyondTheQueueLimitAreRefusedInOrder() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
+        FakeServer node = FakeServer.holding(proceed, FakeServer.OK);
         try (node;
                 SidecarRig rig = rig(node)) {
-            Client client = flood(rig, node, 100);
-            go.countDown();
+            Client client = pipeline(rig, node, 100);
+            proceed.countDown();
             int served = 0;
             boolean refused = false;
             for (int i = 0; i < 101; i++) {
@@ -58,24 +64,29 @@
                                 || answer.startsWith("HTTP/1.1 503")
                                         && answer.toLowerCase(Locale.ROOT).contains("retry-after: 1.5"),
                         answer);
-                assertTrue(!(ok && refused), "each in its turn");
+                assertTrue(!(ok && refused), "answers are out of order");
                 refused |= !ok;
                 served += ok ? 1 : 0;
             }
             assertEquals(65, served);
-            assertTrue(client.write(SidecarRig.read("then")).read().endsWith("body"), "and it goes on");
+            assertTrue(
+                    client.write(SidecarRig.read("then")).read().endsWith("body"),
+                    "the connection is not usable any more");
         }
     }
 
-    /** Beyond a thousand nothing is looked at any more: the last refusal ends the connection, and the rest is read for its end alone. */
+    /**
+     * After a thousand refusals no further request is parsed: the last refusal closes the connection, and the rest is
+     * read only to detect its end.
+     */
     @Test
-    void whoSendsWithoutEndIsRefusedAThousandTimesAndThenClosed() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer node = FakeServer.holding(go, FakeServer.OK);
+    void anEndlessPipelineIsRefusedAThousandTimesAndThenClosed() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
+        FakeServer node = FakeServer.holding(proceed, FakeServer.OK);
         try (node;
                 SidecarRig rig = rig(node)) {
-            Client client = flood(rig, node, 3000);
-            go.countDown();
+            Client client = pipeline(rig, node, 3000);
+            proceed.countDown();
             int served = 0;
             int refused = 0;
             String last = null;
--- a/src/test/java/ivybank/daemon/PromiseKeeperTest.java
+++ b/src/test/java/ivybank/daemon/PromiseKeeperTest.java
@@ -30,21 +30,21 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Promises of a sidecar on sockets, over restarts. */
+/** Tests the promises of a sidecar on sockets, across restarts. */
 @Timeout(60)
 class PromiseKeeperTest {
 
-    private record Got(int status, String body) {}
+    private record Response(int status, String body) {}
 
     @TempDir
     Path dir;
 
     private final List<AutoCloseable> toClose = new ArrayList<>();
-    private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-    private final AtomicInteger ran = new AtomicInteger();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
+    private final AtomicInteger runs = new AtomicInteger();
     private Sidecar sidecar;
     private InetSocketAddress address;
-    private int asked;
+    private int callCount;
 
     @AfterEach
     void close() throws Exception {
@@ -83,7 +83,7 @@
         sidecar = new Sidecar(
                 Config.load(environment),
                 new ConfigFile(environment),
-                new Log(new PrintStream(said, true, StandardCharsets.UTF_8), clock),
+                new Log(new PrintStream(logOutput, true, StandardCharsets.UTF_8), clock),
                 clock,
                 new DrainTimes(10, 20, 200),
                 Timing.standard(false, 500),
@@ -92,13 +92,13 @@
         address = sidecar.start();
     }
 
-    private Got submit(String event, int budgetMs) throws IOException {
+    private Response submit(String event, int budgetMs) throws IOException {
         HttpURLConnection call = (HttpURLConnection) URI.create("http://127.0.0.1:" + address.getPort() + "/submit")
                 .toURL()
                 .openConnection();
         call.setRequestMethod("POST");
         call.setDoOutput(true);
-        call.setRequestProperty("X-Call-Id", "c" + ++asked);
+        call.setRequestProperty("X-Call-Id", "c" + ++callCount);
         call.setRequestProperty("X-Budget-Ms", String.valueOf(budgetMs));
         if (event != null) {
             call.setRequestProperty("X-Event", event);
@@ -106,33 +106,34 @@
         call.getOutputStream().write("{}".getBytes(StandardCharsets.US_ASCII));
         int status = call.getResponseCode();
         var body = status < 400 ? call.getInputStream() : call.getErrorStream();
-        return new Got(status, body == null ? "" : new String(body.readAllBytes(), StandardCharsets.UTF_8).strip());
+        return new Response(
+                status, body == null ? "" : new String(body.readAllBytes(), StandardCharsets.UTF_8).strip());
     }
 
-    private void serves(FakeServer.Connection connection) throws IOException {
+    private void serveAll(FakeServer.Connection connection) throws IOException {
         while (connection.read() != null) {
-            connection.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n#" + ran.incrementAndGet());
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n#" + runs.incrementAndGet());
         }
     }
 
     @Test
-    void anAckOutlastsARestartAndTheSameEventIsNeverSentAgain() throws Exception {
-        InetSocketAddress node = node(this::serves);
+    void anAcknowledgementSurvivesARestartAndTheRequestIsNotSentAgain() throws Exception {
+        InetSocketAddress node = node(this::serveAll);
         start(node);
-        assertEquals(new Got(200, "#1"), submit("quake-7", 3000));
-        assertEquals(new Got(200, "#1"), submit("quake-7", 3000));
-        assertEquals(new Got(200, "#2"), submit("quake-8", 3000));
-        assertEquals(new Got(200, "#3"), submit(null, 3000));
-        assertEquals(new Got(200, "#4"), submit(null, 3000), "one without a name is not recognised");
+        assertEquals(new Response(200, "#1"), submit("quake-7", 3000));
+        assertEquals(new Response(200, "#1"), submit("quake-7", 3000));
+        assertEquals(new Response(200, "#2"), submit("quake-8", 3000));
+        assertEquals(new Response(200, "#3"), submit(null, 3000));
+        assertEquals(new Response(200, "#4"), submit(null, 3000), "a request without an identity is not deduplicated");
         sidecar.drain();
         start(node);
         assertTrue(
-                said.toString(StandardCharsets.UTF_8).contains("promises: 2 acked and 0 in doubt from before"),
-                said.toString(StandardCharsets.UTF_8));
-        assertEquals(new Got(200, "#1"), submit("quake-7", 3000));
-        assertEquals(4, ran.get());
+                logOutput.toString(StandardCharsets.UTF_8).contains("promises: 2 acked and 0 in doubt from before"),
+                logOutput.toString(StandardCharsets.UTF_8));
+        assertEquals(new Response(200, "#1"), submit("quake-7", 3000));
+        assertEquals(4, runs.get());
         String folder = dir.resolve("store").toString();
-        assertEquals(1, ivybank.cli.Ivybank.run(new String[] {"store", "verify", folder}), "it is in use");
+        assertEquals(1, ivybank.cli.Ivybank.run(new String[] {"store", "verify", folder}), "the store is in use");
         sidecar.drain();
         sidecar = null;
         assertEquals(0, ivybank.cli.Ivybank.run(new String[] {"store", "verify", folder}));
@@ -149,25 +150,25 @@
         byte[] bytes = Files.readAllBytes(segment);
         bytes[40] ^= 1;
         Files.write(segment, bytes);
-        assertEquals(1, ivybank.cli.Ivybank.run(new String[] {"store", "verify", folder}), "a damaged one");
+        assertEquals(1, ivybank.cli.Ivybank.run(new String[] {"store", "verify", folder}), "the store is corrupt");
         assertEquals(2, ivybank.cli.Ivybank.run(new String[] {"store", "verify", folder + "/none"}));
     }
 
     @Test
-    void whatMayHaveRunStaysInDoubtOverARestartAndIsNeitherSentNorRefused() throws Exception {
+    void aRequestThatMayHaveRunStaysInDoubtAcrossARestart() throws Exception {
         InetSocketAddress node = node(connection -> {
             connection.read();
-            ran.incrementAndGet();
+            runs.incrementAndGet();
             connection.socket.close();
         });
         start(node);
         assertEquals(502, submit("quake-7", 3000).status());
-        assertEquals(new Got(409, "it may have run, and is not sent again: in doubt"), submit("quake-7", 3000));
+        assertEquals(new Response(409, "it may have run, and is not sent again: in doubt"), submit("quake-7", 3000));
         sidecar.drain();
         start(node);
-        assertTrue(said.toString(StandardCharsets.UTF_8).contains("promises: 0 acked and 1 in doubt from before"));
+        assertTrue(logOutput.toString(StandardCharsets.UTF_8).contains("promises: 0 acked and 1 in doubt from before"));
         assertEquals(409, submit("quake-7", 3000).status());
-        assertEquals(1, ran.get());
+        assertEquals(1, runs.get());
         sidecar.drain();
         String folder = dir.resolve("store").toString();
         assertEquals(0, ivybank.cli.Ivybank.run(new String[] {"promises", "list", "--in-doubt", folder}));
@@ -175,33 +176,36 @@
         assertEquals(0, ivybank.cli.Ivybank.run(new String[] {"promises", "clear", folder, "submit", "quake-7"}));
         start(node);
         assertEquals(502, submit("quake-7", 3000).status());
-        assertEquals(2, ran.get(), "it was cleared by hand, and is new");
+        assertEquals(2, runs.get(), "a cleared request counts as new");
     }
 
     @Test
-    void whatHasCertainlyNotRunGoesOutAsNew() throws Exception {
-        AtomicInteger turnedAway = new AtomicInteger();
+    void aRequestThatProvablyHasNotRunIsSentAsNew() throws Exception {
+        AtomicInteger rejections = new AtomicInteger();
         InetSocketAddress node = node(connection -> {
             while (connection.read() != null) {
                 connection.write(
-                        turnedAway.getAndIncrement() < 8
+                        rejections.getAndIncrement() < 8
                                 ? "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-                                : "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n#" + ran.incrementAndGet());
+                                : "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n#" + runs.incrementAndGet());
             }
         });
         start(node);
-        Got first = submit("quake-7", 3000);
+        Response first = submit("quake-7", 3000);
         assertEquals(503, first.status());
-        Got next = first;
+        Response next = first;
         while (next.status() == 503) {
             next = submit("quake-7", 3000);
         }
-        assertEquals(new Got(200, "#1"), next);
+        assertEquals(new Response(200, "#1"), next);
     }
 
-    /** Two ask for the same, and both leave while its node is not reached: whoever leaves last calls it off. */
+    /**
+     * Two clients send the same request, and both disconnect while its node is not reached yet: the request is
+     * cancelled when the last client has disconnected.
+     */
     @Test
-    void whenAllWhoWaitForTheSameHaveLeftItIsNotSentOn() throws Exception {
+    void aRequestIsNotForwardedWhenAllItsClientsHaveLeft() throws Exception {
         try (LateListener node = new LateListener()) {
             start(node.address());
             List<Socket> clients = new ArrayList<>();
@@ -215,20 +219,20 @@
                 while (sidecar.requestsInProgress() == 0) {
                     Thread.sleep(2);
                 }
-                Thread.sleep(50); // the second joins
+                Thread.sleep(50); // the second client joins the request
             }
-            for (Socket client : clients) { // the one that asked first leaves first
+            for (Socket client : clients) { // the client that sent first disconnects first
                 client.close();
             }
             Thread.sleep(300);
             assertEquals(0, sidecar.requestsInProgress());
             node.letIn();
-            Socket late = node.next(2000);
-            if (late != null) {
-                late.setSoTimeout(300);
+            Socket accepted = node.next(2000);
+            if (accepted != null) {
+                accepted.setSoTimeout(300);
                 assertThrows(IOException.class, () -> {
-                    if (late.getInputStream().read() < 0) {
-                        throw new IOException("closed, with nothing on it");
+                    if (accepted.getInputStream().read() < 0) {
+                        throw new IOException("closed without data");
                     }
                 });
             }
@@ -236,38 +240,38 @@
     }
 
     @Test
-    void theSameEventInHandIsJoinedAndRunsOnce() throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+    void anIdenticalRequestInProgressIsJoinedAndRunsOnce() throws Exception {
+        CountDownLatch started = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         InetSocketAddress node = node(connection -> {
             connection.read();
-            begun.countDown();
-            go.await();
-            connection.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n#" + ran.incrementAndGet());
+            started.countDown();
+            proceed.await();
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n#" + runs.incrementAndGet());
             connection.read();
         });
         start(node);
-        List<Got> got = new ArrayList<>();
+        List<Response> responses = new ArrayList<>();
         Thread first = new Thread(() -> {
             try {
-                got.add(submit("quake-7", 5000));
+                responses.add(submit("quake-7", 5000));
             } catch (IOException e) {
-                got.add(new Got(0, e.toString()));
+                responses.add(new Response(0, e.toString()));
             }
         });
         first.start();
-        begun.await();
-        assertEquals(504, submit("quake-7", 200).status(), "its own time is up first");
-        go.countDown();
-        assertEquals(new Got(200, "#1"), submit("quake-7", 3000));
+        started.await();
+        assertEquals(504, submit("quake-7", 200).status(), "its own deadline is earlier");
+        proceed.countDown();
+        assertEquals(new Response(200, "#1"), submit("quake-7", 3000));
         first.join();
-        assertEquals(List.of(new Got(200, "#1")), got);
-        assertEquals(1, ran.get());
+        assertEquals(List.of(new Response(200, "#1")), responses);
+        assertEquals(1, runs.get());
     }
 
     @Test
-    void twoSidecarsCantHaveTheSameFolder() throws Exception {
-        start(node(this::serves));
+    void twoSidecarsCannotUseTheSameStore() throws Exception {
+        start(node(this::serveAll));
         Sidecar running = sidecar;
         IOException e = org.junit.jupiter.api.Assertions.assertThrows(
                 IOException.class, () -> start(new InetSocketAddress("127.0.0.1", 1)));
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -42,18 +42,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What becomes of attempts that a module asks for at the wrong moment, with a node on a real socket. */
+/** Tests attempts that a decision module requests at a problematic moment, with a node on a real socket. */
 @Timeout(20)
 class RequestDispatcherTest {
 
-    private static final int NOBODY = 99;
+    private static final int UNKNOWN_NODE = 99;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Clock clock = Clock.system();
     private final Log log = new Log(new PrintStream(OutputStream.nullOutputStream()), clock);
     private final BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Request> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Request> moduleRequests = new LinkedBlockingQueue<>();
     private FakeServer node;
     private RequestDispatcher dispatcher;
     private Balancer.Actions actions;
@@ -75,12 +75,12 @@
                     SettingsText.parse(
                             "lanes.count=1\nlanes.0.name=submit\nlanes.0.hardLimitMs=6000\nlimits.maxAttempts=6\n"),
                     1,
-                    (settings, seed, does) -> {
-                        actions = does;
+                    (settings, seed, moduleActions) -> {
+                        actions = moduleActions;
                         return new IdleBalancer() {
                             @Override
                             public void request(double nowMs, Request request) {
-                                asked.add(request);
+                                moduleRequests.add(request);
                             }
 
                             @Override
@@ -115,9 +115,9 @@
                 HttpMethod.POST, "/submit", "c1", null, new byte[2], 0, 0, false, clock.nowMs(), budgetMs, null, null);
     }
 
-    /** A record that is written when the test says so. */
-    private static final class HeldRecord implements SendRecord {
-        private final CompletableFuture<Runnable> asks = new CompletableFuture<>();
+    /** A record that is stored when the test says so. */
+    private static final class DeferredRecord implements SendRecord {
+        private final CompletableFuture<Runnable> storeRequest = new CompletableFuture<>();
         private boolean recorded;
 
         @Override
@@ -127,7 +127,7 @@
 
         @Override
         public void record(Runnable done, Runnable failed) {
-            asks.complete(() -> {
+            storeRequest.complete(() -> {
                 recorded = true;
                 done.run();
             });
@@ -135,58 +135,58 @@
 
         @Override
         public void sending() {
-            // It is out.
+            // Not needed.
         }
 
         @Override
         public void ended(boolean proved) {
-            // It is known.
+            // Not needed.
         }
 
         @Override
         public void servedLate(Answer answer) {
-            // Nobody asks.
+            // Not needed.
         }
     }
 
     @Test
-    void whatWaitsForItsRecordIsNotSentOnceItsClientHasLeft() throws Exception {
-        HeldRecord record = new HeldRecord();
+    void aRequestThatWaitsForItsRecordIsNotSentAfterItsClientLeft() throws Exception {
+        DeferredRecord record = new DeferredRecord();
         int id = onLoop(() -> {
             int number = dispatcher.request(request(6000).with(record), answer -> {});
             actions.send(number, 0, 0);
             return number;
         });
-        Runnable written = record.asks.get(5, TimeUnit.SECONDS);
+        Runnable store = record.storeRequest.get(5, TimeUnit.SECONDS);
         onLoop(() -> {
             dispatcher.clientLeft(id);
             return null;
         });
         assertEquals(Outcome.NOT_SENT, ends.poll(5, TimeUnit.SECONDS).outcome());
         onLoop(() -> {
-            written.run();
+            store.run();
             return null;
         });
         assertNull(node.requests.poll(300, TimeUnit.MILLISECONDS));
         assertTrue(node.accepted.isEmpty());
     }
 
-    /** Without its end the request would have waited for its deadline. */
+    /** The request would wait until its deadline if the attempt did not end. */
     @Test
-    void anAttemptAtANodeThatIsForgottenEndsAtOnceAsNotSent() throws Exception {
+    void anAttemptAtARemovedNodeEndsImmediatelyAsNotSent() throws Exception {
         onLoop(() -> {
-            actions.send(dispatcher.request(request(6000), answer -> {}), NOBODY, 0);
+            actions.send(dispatcher.request(request(6000), answer -> {}), UNKNOWN_NODE, 0);
             return null;
         });
         AttemptEnd end = ends.poll(5, TimeUnit.SECONDS);
         assertEquals(Outcome.NOT_SENT, end.outcome());
-        assertEquals(NOBODY, end.upstream());
+        assertEquals(UNKNOWN_NODE, end.upstream());
         assertEquals(0, end.attempt());
     }
 
-    /** What is kept of the client's time for the answer's way is a share of it where it is short. */
+    /** The time reserved for returning the answer is a fraction of a short budget. */
     @Test
-    void aShortDeadlineIsKeptAndMostOfItIsTheNodes() throws Exception {
+    void aShortDeadlineIsMetAndMostOfItIsLeftToTheNode() throws Exception {
         CompletableFuture<Double> answered = new CompletableFuture<>();
         double[] fromMs = {0};
         onLoop(() -> {
@@ -195,9 +195,9 @@
             dispatcher.request(request, answer -> answered.complete(clock.nowMs()));
             return null;
         });
-        Request told = asked.poll(5, TimeUnit.SECONDS);
-        assertNotNull(told);
-        assertTrue(told.timeoutMs() > 45 && told.timeoutMs() <= 54, "the module has " + told.timeoutMs());
+        Request request = moduleRequests.poll(5, TimeUnit.SECONDS);
+        assertNotNull(request);
+        assertTrue(request.timeoutMs() > 45 && request.timeoutMs() <= 54, "the module got " + request.timeoutMs());
         double tookMs = answered.get(5, TimeUnit.SECONDS) - fromMs[0];
         assertTrue(tookMs >= 55, "failed after " + tookMs);
     }
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -21,11 +21,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A client's connections: how many are kept, and which are closed for others' sake. */
+/** Tests client connections: how many are kept, and which are closed to free capacity. */
 @Timeout(30)
 class SidecarConnectionsTest extends SidecarTestBase {
 
-    /** Sends so many requests, of which so many are refused at once; the others stay in hand. */
+    /**
+     * Sends {@code requests} requests and checks that {@code refused} of them are refused at once; the others stay in
+     * progress.
+     */
     private void assertRefused(int refused, int requests) throws Exception {
         List<Client> sent = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
@@ -44,26 +47,27 @@
         }
         Thread.sleep(100);
         for (Client each : sent) {
-            assertEquals(0, each.socket.getInputStream().available(), "more are refused");
+            assertEquals(0, each.socket.getInputStream().available(), "more requests are refused");
         }
     }
 
-    /** What another process leaves while it has so many requests in hand; until it has been read. */
-    private void leave(MemoryFiles other, int inHand) throws Exception {
+    /** Writes the state of another process with this many requests in progress, until it has been read. */
+    private void writeMemory(MemoryFiles other, int inProgress) throws Exception {
         for (int i = 0; i < 5; i++) {
-            other.write(new Memory(clock.machineMs(), inHand, 10, new Learned<>(1, 0, List.of(), Map.of(), Map.of())));
+            other.write(
+                    new Memory(clock.machineMs(), inProgress, 10, new Learned<>(1, 0, List.of(), Map.of(), Map.of())));
             Thread.sleep(60);
         }
     }
 
     @Test
-    void whatTheDescriptorsDoNotHoldIsRefusedAtOnceAndNotLeftInTheBacklog() throws Exception {
+    void connectionsBeyondTheDescriptorsAreRefusedAndNotLeftInTheBacklog() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
-        // Of nine descriptors to give away the client may have six, the last of them only to be refused.
+        // Of nine available descriptors clients can use six, the last of them only for a refusal.
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"), 24 + 9);
         String answer = "";
         Client last = null;
-        while (!answer.startsWith("HTTP/1.1 503")) { // an idle connection may have made room meanwhile
+        while (!answer.startsWith("HTTP/1.1 503")) { // an idle connection may have freed capacity meanwhile
             for (int i = 0; i < 6; i++) {
                 last = client();
                 assertEquals(200, last.status(ready()));
@@ -75,13 +79,15 @@
     }
 
     @Test
-    void connectionsThatAreKeptButNotUsedGiveWayToOthers() throws Exception {
+    void idleConnectionsAreClosedForNewOnes() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"), 24 + 9);
         for (int i = 0; i < 5; i++) {
             assertEquals(200, client().status(ready()));
         }
-        // Six are more than are served; those that asked once go after a while, and the sixth is served.
+        // Six connections are more than are served. Those with a single request are closed after a while, and the sixth
+        // is
+        // served.
         Client sixth = client();
         while (sixth.status(read(3000)) != 200) {
             sixth = client();
@@ -90,7 +96,7 @@
     }
 
     @Test
-    void whatAnotherProcessHasInHandLeavesTheClientFewerConnectionsForThisOne(@TempDir Path folder) throws Exception {
+    void requestsOfAnotherProcessReduceTheConnectionsOfThisOne(@TempDir Path folder) throws Exception {
         FakeServer upstream = serve(new FakeServer(connection -> {
             connection.read();
             Thread.sleep(20_000);
@@ -98,26 +104,26 @@
         List<String> hosts = IntStream.range(0, 6)
                 .mapToObj(i -> host("s-" + i, upstream.address(), "Ready"))
                 .toList();
-        // A third of 300 are the client's for requests: of these 100, 35 are kept free while another process is here,
+        // A third of 300 descriptors is for requests: of these 100, 35 are kept free while another process is running,
         // else 15.
         inherited = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         start(FakeServer.nobody(), String.join(",", hosts), 300);
         sidecar.handOver(folder);
         MemoryFiles other = new MemoryFiles(folder, 1, said -> {});
         sidecar.siblingPresent(true);
-        leave(other, 55);
+        writeMemory(other, 55);
         assertRefused(2, 10 + 2);
-        leave(other, 50);
+        writeMemory(other, 50);
         assertRefused(1, 5 + 1);
         sidecar.siblingPresent(false);
-        Thread.sleep(200); // the files are looked at each 50 ms
+        Thread.sleep(200); // the files are read every 50 ms
         assertRefused(0, 5);
     }
 
     @Test
-    void whereEachRequestComesOnANewConnectionTheOldOnesAreClosedWithTheirAnswers() throws Exception {
+    void connectionsAreClosedAfterTheirAnswersWhereClientsDoNotReuseThem() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
-        // Several nodes, so that none of their connections rests when the next request comes.
+        // Several nodes, so that no upstream connection is in its rest period when the next request arrives.
         start(
                 FakeServer.nobody(),
                 IntStream.rangeClosed(1, 8)
@@ -126,37 +132,37 @@
                 24 + 40);
         String answer = "";
         for (int i = 0; !answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"); i++) {
-            assertTrue(i < 300, "connections that ask once hold all that there are");
-            answer = client().ask(read(3000)); // and keeps it
+            assertTrue(i < 300, "connections with a single request use all descriptors");
+            answer = client().ask(read(3000)); // the connection stays open
             Thread.sleep(10);
         }
         assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
     }
 
     @Test
-    void inACrowdHalfARequestThatStandsGivesWayAndOneThatIsWrittenSlowlyIsServed() throws Exception {
+    void underLoadStalledPartialRequestsAreClosedAndSlowOnesAreServed() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"), 24 + 9);
         Client slow = client();
-        List<Client> standing = new ArrayList<>();
+        List<Client> partial = new ArrayList<>();
         String request = read(3000);
         for (int at = 0; at < request.length(); at += 10) { // for nearly 2 s
             slow.write(request.substring(at, Math.min(request.length(), at + 10)));
-            if (standing.size() < 4) {
-                Client half = client();
-                half.write("GET /read HTT");
-                standing.add(half);
+            if (partial.size() < 4) {
+                Client partialClient = client();
+                partialClient.write("GET /read HTT");
+                partial.add(partialClient);
             }
             Thread.sleep(200);
         }
         assertTrue(slow.read().startsWith("HTTP/1.1 200"));
-        for (Client half : standing) {
-            assertTrue(half.read().startsWith("HTTP/1.1 408"));
+        for (Client partialClient : partial) {
+            assertTrue(partialClient.read().startsWith("HTTP/1.1 408"));
         }
     }
 
     @Test
-    void aConnectionOnWhichNothingComesIsClosed() throws Exception {
+    void aSilentConnectionIsClosed() throws Exception {
         start(FakeServer.nobody(), host("s-1", FakeServer.nobody(), "Ready"));
         assertNull(client().read());
     }
--- a/src/test/java/ivybank/daemon/SidecarDiscoveryTest.java
+++ b/src/test/java/ivybank/daemon/SidecarDiscoveryTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A sidecar and discovery: lists, watches that break, and moves to another address. */
+/** Tests a sidecar with discovery: lists, watches that break, and moves to another address. */
 @Timeout(30)
 class SidecarDiscoveryTest extends SidecarTestBase {
 
     @Test
-    void startsFromNothingButTheKnownListWhileDiscoveryIsDown() throws Exception {
+    void startsWithTheKnownListWhileDiscoveryIsDown() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"));
         Client client = client();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void followsTheWatchThroughHalfLinesAndResumesWhereItBroke() throws Exception {
+    void followsTheWatchAcrossPartialLinesAndResumesWhereItBroke() throws Exception {
         FakeServer first = serve(FakeServer.answering(FakeServer.OK.replace("body", "one.")));
         FakeServer second = serve(FakeServer.answering(FakeServer.OK.replace("body", "two.")));
         String gone = "{\"seq\":9,\"whole\":false,\"hosts\":[" + host("s-1", first.address(), "Gone") + ","
@@ -74,12 +74,14 @@
         start(discovery.address(), "");
         assertTrue(discovery.nextRequest().startsWith("GET /registry/instances HTTP/1.1"));
         assertTrue(discovery.nextRequest().contains("?stream=1&index=7 "));
-        assertTrue(discovery.nextRequest().contains("?stream=1&index=9 "), "half a line goes with its connection");
+        assertTrue(
+                discovery.nextRequest().contains("?stream=1&index=9 "),
+                "a partial line is dropped with its connection");
         String answer = client().ask(read(3000));
         assertTrue(answer.endsWith("two."), answer);
     }
 
-    /** A discovery that answers each call for the list, and each watch with one line and no more. */
+    /** Starts a discovery that answers each call for the list, and each watch with one line and nothing more. */
     private FakeServer listThenOneLine(String line) throws IOException {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         return serve(new FakeServer(connection -> {
@@ -94,7 +96,7 @@
     }
 
     @Test
-    void leavesAWatchThatIsSilentBeforeWhatItMissesCountsAsTold() throws Exception {
+    void closesASilentWatchBeforeMissedChangesTakeEffect() throws Exception {
         FakeServer discovery = listThenOneLine("\n");
         start(discovery.address(), "");
         assertNotNull(discovery.nextRequest());
@@ -103,7 +105,7 @@
     }
 
     @Test
-    void asksForTheWholeListAfterALineThatCanNotBeRead() throws Exception {
+    void requestsTheFullListAfterAMalformedLine() throws Exception {
         FakeServer discovery = listThenOneLine("{\"seq\":}\n");
         start(discovery.address(), "");
         assertNotNull(discovery.nextRequest());
@@ -112,69 +114,69 @@
     }
 
     @Test
-    void theOldAddressIsHeardUntilTheNewOneAnswers() throws Exception {
+    void theOldAddressIsUsedUntilTheNewOneAnswers() throws Exception {
         FakeServer first = serve(FakeServer.answering(FakeServer.OK.replace("body", "one.")));
         FakeServer second = serve(FakeServer.answering(FakeServer.OK.replace("body", "two.")));
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer old = roster(
+        CountDownLatch proceed = new CountDownLatch(1);
+        FakeServer old = discoveryServer(
                 9,
                 host("s-1", first.address(), "Ready"),
-                go,
+                proceed,
                 host("s-1", first.address(), "Gone") + "," + host("s-2", second.address(), "Ready"));
-        CountDownLatch speaks = new CountDownLatch(1);
-        FakeServer mute = serve(new FakeServer(connection -> {
+        CountDownLatch answerNow = new CountDownLatch(1);
+        FakeServer silentDiscovery = serve(new FakeServer(connection -> {
             connection.read();
-            speaks.await();
+            answerNow.await();
         }));
         start(old.address(), "");
-        awaitAnswer("one.");
-        config(mute.address(), "", 1024);
+        awaitAnswerEndingWith("one.");
+        config(silentDiscovery.address(), "", 1024);
         sidecar.reload();
-        assertNotNull(mute.nextRequest());
-        go.countDown();
-        awaitAnswer("two.");
-        assertNotNull(mute.requests.poll(2, TimeUnit.SECONDS), "what accepts and says nothing is soon asked anew");
-        speaks.countDown();
+        assertNotNull(silentDiscovery.nextRequest());
+        proceed.countDown();
+        awaitAnswerEndingWith("two.");
+        assertNotNull(silentDiscovery.requests.poll(2, TimeUnit.SECONDS), "a silent discovery is called again soon");
+        answerNow.countDown();
     }
 
     @Test
-    void anAddressThatIsNotUpYetIsTriedUntilItIsAndASignalEndsThePause() throws Exception {
+    void anUnavailableAddressIsRetriedAndASignalEndsTheDelay() throws Exception {
         FakeServer first = serve(FakeServer.answering(FakeServer.OK.replace("body", "one.")));
         FakeServer second = serve(FakeServer.answering(FakeServer.OK.replace("body", "two.")));
         start(FakeServer.nobody(), host("s-1", first.address(), "Ready"));
-        Thread.sleep(300); // into the longer pauses between tries
+        Thread.sleep(300); // until retries are slower
         config(FakeServer.nobody(), "", 1024);
         sidecar.reload();
-        FakeServer next = roster(5, host("s-2", second.address(), "Ready"), new CountDownLatch(1), null);
+        FakeServer next = discoveryServer(5, host("s-2", second.address(), "Ready"), new CountDownLatch(1), null);
         config(next.address(), "", 1024);
         sidecar.reload();
-        awaitAnswer("two.");
+        awaitAnswerEndingWith("two.");
     }
 
     @Test
-    void anOlderListFromANewAddressBringsNothingBackThatDrainsOrIsGone() throws Exception {
+    void anOlderListFromANewAddressDoesNotRestoreDrainingOrRemovedNodes() throws Exception {
         FakeServer drains = serve(FakeServer.answering(FakeServer.OK.replace("body", "no 1")));
         FakeServer gone = serve(FakeServer.answering(FakeServer.OK.replace("body", "no 2")));
         FakeServer stays = serve(FakeServer.answering(FakeServer.OK));
-        FakeServer told = serve(FakeServer.answering(FakeServer.OK.replace("body", "told")));
+        FakeServer added = serve(FakeServer.answering(FakeServer.OK.replace("body", "told")));
         String before = host("s-1", drains.address(), "Ready") + "," + host("s-2", gone.address(), "Ready");
-        CountDownLatch go = new CountDownLatch(1);
-        FakeServer old = roster(
+        CountDownLatch proceed = new CountDownLatch(1);
+        FakeServer old = discoveryServer(
                 9,
                 before + "," + host("s-3", stays.address(), "Ready"),
-                go,
+                proceed,
                 host("s-1", drains.address(), "Terminating") + "," + host("s-2", gone.address(), "Gone") + ","
-                        + host("s-4", told.address(), "Ready"));
+                        + host("s-4", added.address(), "Ready"));
         CountDownLatch restarted = new CountDownLatch(1);
-        FakeServer next = roster(
+        FakeServer next = discoveryServer(
                 5,
                 before + "," + host("s-3", stays.address(), "Ready"),
                 restarted,
                 host("s-1", drains.address(), "Ready").replace("\"born_ms\":0", "\"born_ms\":5"));
         start(old.address(), "");
-        awaitAnswer("no 1");
-        go.countDown();
-        awaitAnswer("told");
+        awaitAnswerEndingWith("no 1");
+        proceed.countDown();
+        awaitAnswerEndingWith("told");
         config(next.address(), "", 1024);
         sidecar.reload();
         assertNotNull(next.nextRequest());
@@ -186,6 +188,6 @@
         }
         assertTrue(drains.requests.isEmpty() && gone.requests.isEmpty());
         restarted.countDown();
-        awaitAnswer("no 1"); // under the same name, but another process
+        awaitAnswerEndingWith("no 1"); // the same name, but another process
     }
 }
--- a/src/test/java/ivybank/daemon/SidecarReloadTest.java
+++ b/src/test/java/ivybank/daemon/SidecarReloadTest.java
@@ -16,13 +16,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A sidecar that is told to read its configuration again. */
+/** Tests a sidecar that reloads its configuration. */
 @Timeout(30)
 class SidecarReloadTest extends SidecarTestBase {
 
-    /** The real program, whose signals this test can set: started with SIGHUP ignored, by {@code prefix}. */
-    private Process startIgnoringHangUp(String prefix, FakeServer roster) throws Exception {
-        config(roster.address(), "", 1024);
+    /**
+     * Starts the real program with SIGHUP ignored, so that this test can send it signals.
+     *
+     * @param prefix the start of the command
+     */
+    private Process startIgnoringHangUp(String prefix, FakeServer discoveryServer) throws Exception {
+        config(discoveryServer.address(), "", 1024);
         ProcessBuilder builder = new ProcessBuilder(
                         "/bin/sh",
                         "-c",
@@ -39,7 +43,7 @@
     }
 
     @Test
-    void followsDiscoveryToANewAddressWhenToldToReadTheConfigurationAgain() throws Exception {
+    void followsDiscoveryToANewAddressAfterAReload() throws Exception {
         FakeServer first = serve(FakeServer.answering(FakeServer.OK.replace("body", "one.")));
         FakeServer second = serve(FakeServer.answering(FakeServer.OK.replace("body", "two.")));
         CountDownLatch moved = new CountDownLatch(1);
@@ -57,7 +61,7 @@
         assertNotNull(old.nextRequest());
         Files.writeString(dir.resolve("config.json"), "{ half a fi");
         sidecar.reload();
-        assertTrue(client().ask(read(3000)).endsWith("one."), "a bad file changes nothing");
+        assertTrue(client().ask(read(3000)).endsWith("one."), "a malformed file has an effect");
         FakeServer next = serve(new FakeServer(connection -> {
             for (String call = connection.read(); call != null; call = connection.read()) {
                 if (call.contains("stream=1")) {
@@ -78,33 +82,33 @@
     }
 
     @Test
-    void aConfigurationThatIsHalfReplacedAtTheSignalIsReadOnceItIsWhole() throws Exception {
+    void aPartlyWrittenConfigurationIsReadOnceItIsComplete() throws Exception {
         FakeServer first = serve(FakeServer.answering(FakeServer.OK.replace("body", "one.")));
         FakeServer second = serve(FakeServer.answering(FakeServer.OK.replace("body", "two.")));
         CountDownLatch never = new CountDownLatch(1);
-        FakeServer old = roster(9, host("s-1", first.address(), "Ready"), never, null);
-        FakeServer next = roster(5, host("s-2", second.address(), "Ready"), never, null);
+        FakeServer old = discoveryServer(9, host("s-1", first.address(), "Ready"), never, null);
+        FakeServer next = discoveryServer(5, host("s-2", second.address(), "Ready"), never, null);
         start(old.address(), "");
-        awaitAnswer("one.");
-        for (String half : List.of("", "{\"name\":\"n0\",\"discovery\":\"" + text(next.address()) + "\",\"sett")) {
-            Files.writeString(dir.resolve("config.json"), half);
+        awaitAnswerEndingWith("one.");
+        for (String partial : List.of("", "{\"name\":\"n0\",\"discovery\":\"" + text(next.address()) + "\",\"sett")) {
+            Files.writeString(dir.resolve("config.json"), partial);
             sidecar.reload();
             assertTrue(client().ask(read(3000)).endsWith("one."));
         }
         config(next.address(), "", 1024);
-        awaitAnswer("two.");
+        awaitAnswerEndingWith("two.");
     }
 
     @Test
     void theLastOfTwoSignalsCounts() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         CountDownLatch never = new CountDownLatch(1);
-        FakeServer old = roster(9, host("s-1", upstream.address(), "Ready"), never, null);
-        FakeServer between = roster(9, host("s-1", upstream.address(), "Ready"), never, null);
-        FakeServer last = roster(9, host("s-1", upstream.address(), "Ready"), never, null);
+        FakeServer old = discoveryServer(9, host("s-1", upstream.address(), "Ready"), never, null);
+        FakeServer skipped = discoveryServer(9, host("s-1", upstream.address(), "Ready"), never, null);
+        FakeServer last = discoveryServer(9, host("s-1", upstream.address(), "Ready"), never, null);
         start(old.address(), "");
         assertNotNull(old.nextRequest());
-        config(between.address(), "", 1024);
+        config(skipped.address(), "", 1024);
         sidecar.reload();
         config(last.address(), "", 1024);
         sidecar.reload();
@@ -114,28 +118,28 @@
     }
 
     @Test
-    void withTheSignalIgnoredByWhoeverStartedItTheDeployedCommandHearsItAllTheSame() throws Exception {
+    void theDeployedCommandHandlesSighupEvenIfItsParentIgnoresIt() throws Exception {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run ="))
                 .findFirst()
                 .orElseThrow();
         String prefix = run.substring(run.indexOf('"') + 1, run.indexOf(" java "));
         CountDownLatch never = new CountDownLatch(1);
-        FakeServer old = roster(9, "", never, null);
-        FakeServer next = roster(5, "", never, null);
+        FakeServer old = discoveryServer(9, "", never, null);
+        FakeServer next = discoveryServer(5, "", never, null);
         Process process = startIgnoringHangUp(prefix, old);
         assertNotNull(old.requests.poll(20, TimeUnit.SECONDS));
         config(next.address(), "", 1024);
         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
                 .start()
                 .waitFor();
-        assertNotNull(next.nextRequest(), () -> "the old address stays open: " + process);
+        assertNotNull(next.nextRequest(), () -> "the old address is still used: " + process);
     }
 
     @Test
-    void whereNoSignalCanComeTheFileIsReadWhenDiscoveryHasClosed() throws Exception {
-        FakeServer old = roster(9, "", new CountDownLatch(1), null);
-        FakeServer next = roster(5, "", new CountDownLatch(1), null);
+    void withSighupIgnoredTheFileIsReadWhenDiscoveryHasClosed() throws Exception {
+        FakeServer old = discoveryServer(9, "", new CountDownLatch(1), null);
+        FakeServer next = discoveryServer(5, "", new CountDownLatch(1), null);
         startIgnoringHangUp("exec", old);
         assertNotNull(old.requests.poll(20, TimeUnit.SECONDS));
         assertNotNull(old.nextRequest());
@@ -146,26 +150,26 @@
     }
 
     @Test
-    void aSignalToReadTheConfigurationAgainDoesNotEndTheProcess() throws Exception {
-        CountDownLatch told = new CountDownLatch(2);
+    void sighupDoesNotEndTheProcess() throws Exception {
+        CountDownLatch signals = new CountDownLatch(2);
         assumeTrue(HangupSignal.listen(), "these tests run with SIGHUP ignored");
-        HangupSignal.handle(told::countDown);
+        HangupSignal.handle(signals::countDown);
         for (int i = 0; i < 2; i++) {
-            long before = told.getCount();
+            long before = signals.getCount();
             new ProcessBuilder(
                             "kill",
                             "-HUP",
                             String.valueOf(ProcessHandle.current().pid()))
                     .start()
                     .waitFor();
-            while (told.getCount() == before) {
+            while (signals.getCount() == before) {
                 Thread.sleep(5);
             }
         }
     }
 
     @Test
-    void aMalformedConfigurationIsOneLine() throws Exception {
+    void aMalformedConfigurationIsReportedInOneLine() throws Exception {
         Path file = dir.resolve("bad.json");
         assertThrows(ConfigException.class, () -> Config.load(Map.of()));
         for (String text : List.of(
@@ -183,7 +187,7 @@
     }
 
     @Test
-    void aSettingThatIsOutOfRangeOrOfTheWrongTypeIsOneLineThatNamesIt() throws Exception {
+    void anInvalidSettingIsReportedInOneLineThatNamesIt() throws Exception {
         String good = Files.readString(config(FakeServer.nobody(), "", 99));
         for (String[] change : new String[][] {
             {"\"cancel\":true", "\"cancel\":1", "limits.cancel"},
--- a/src/test/java/ivybank/daemon/SidecarRequestsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarRequestsTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a sidecar reads from clients, and how requests and attempts end. */
+/** Tests how a sidecar parses requests, and how requests and attempts end. */
 @Timeout(30)
 class SidecarRequestsTest extends SidecarTestBase {
 
     @Test
-    void answersBadInputAndGoesOn() throws Exception {
+    void answersMalformedInputAndKeepsServing() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"));
         Client client = client();
@@ -35,7 +35,7 @@
                 413,
                 client().status("POST /submit HTTP/1.1\r\nX-Call-Id: c\r\nX-Budget-Ms: 100\r\n"
                         + "Content-Length: 40000000\r\n\r\n"),
-                "before the body has come");
+                "refused before the body arrives");
         assertEquals(
                 417,
                 client().status("POST /submit HTTP/1.1\r\nX-Call-Id: c\r\nX-Budget-Ms: 100\r\n"
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aRequestThatMayHideAnotherIsRefusedAndNothingBehindItIsRead() throws Exception {
+    void ambiguousFramingIsRejectedAndNothingBehindItIsRead() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"));
         for (String head : List.of(
@@ -85,11 +85,11 @@
     }
 
     @Test
-    void whatCanNotBeReadIsAnsweredInTurn() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void malformedRequestsAreAnsweredInOrder() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         FakeServer upstream = serve(new FakeServer(connection -> {
             connection.read();
-            go.await();
+            proceed.await();
             connection.write(FakeServer.OK);
         }));
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"));
@@ -97,15 +97,15 @@
         client.write(read(3000));
         assertNotNull(upstream.nextRequest());
         client.write("POST /submit HTTP/1.1\r\nContent-Length: 40000000\r\n\r\n");
-        assertEquals(409, client().status(read(3000)), "the id is open");
-        go.countDown();
+        assertEquals(409, client().status(read(3000)), "the id is in use");
+        proceed.countDown();
         assertTrue(client.read().startsWith("HTTP/1.1 200"));
         assertTrue(client.read().startsWith("HTTP/1.1 413"));
         assertNull(client.readOrReset());
     }
 
     @Test
-    void halfARequestIsAnsweredInTime() throws Exception {
+    void partialRequestsAreAnsweredInTime() throws Exception {
         start(FakeServer.nobody(), host("s-1", FakeServer.nobody(), "Ready"));
         Client halfHead = client();
         halfHead.write("GET /read HTTP/1.1\r\nX-");
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void whatCameWhileTheEventLoopWasHeldUpIsServedAndItsConnectionNotClosedAsUnused() throws Exception {
+    void requestsThatArriveDuringAStallAreServedAndTheirConnectionsKept() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         CountDownLatch fail = new CountDownLatch(1);
         FakeServer discovery = serve(new FakeServer(connection -> {
@@ -134,26 +134,26 @@
             connection.read();
         }));
         CountDownLatch halted = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        lines = HaltingLines.at("the watch has ended", halted, go);
+        CountDownLatch proceed = new CountDownLatch(1);
+        logLines = HaltingLines.at("the watch has ended", halted, proceed);
         start(discovery.address(), host("s-1", upstream.address(), "Ready"));
-        Client mute = client();
-        Client half = client();
-        half.write(read(3000).substring(0, 20));
+        Client silent = client();
+        Client partial = client();
+        partial.write(read(3000).substring(0, 20));
         Client used = client();
         assertEquals(200, used.status(read(3000)));
         fail.countDown();
         halted.await();
-        // Meanwhile each sends what is missing, and time goes by until all three seem to be of no use.
-        mute.write(read(3000).replace("Id: c", "Id: c1"));
-        half.write(read(3000).substring(20).replace("Id: c", "Id: c2"));
+        // During the stall each client sends the missing data, and the clock advances until all three seem unused.
+        silent.write(read(3000).replace("Id: c", "Id: c1"));
+        partial.write(read(3000).substring(20).replace("Id: c", "Id: c2"));
         used.write(read(3000).replace("Id: c", "Id: c3"));
         aheadNanos.set(TimeUnit.SECONDS.toNanos(15));
-        Thread.sleep(300); // until the next look for unused connections is overdue
-        go.countDown();
+        Thread.sleep(300); // until the next check for unused connections is overdue
+        proceed.countDown();
         assertTrue(used.read().endsWith("body"));
-        assertTrue(half.read().endsWith("body"));
-        assertTrue(mute.read().endsWith("body"));
+        assertTrue(partial.read().endsWith("body"));
+        assertTrue(silent.read().endsWith("body"));
     }
 
     @Test
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void anUnsafeRequestThatWasTurnedAwayGoesToAnotherUpstream() throws Exception {
+    void aRejectedUnsafeRequestIsSentToAnotherUpstream() throws Exception {
         FakeServer busy = serve(FakeServer.answering(FakeServer.REJECTED));
         FakeServer free = serve(FakeServer.answering(FakeServer.OK));
         start(FakeServer.nobody(), host("s-1", busy.address(), "Ready") + "," + host("s-2", free.address(), "Ready"));
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void aRefusalComesAtOnceAndSaysWhenToComeBack() throws Exception {
+    void aRefusalIsImmediateAndHasRetryAfter() throws Exception {
         start(FakeServer.nobody(), host("s-1", FakeServer.nobody(), "Ready"));
         long startedNs = System.nanoTime();
         String answer = client().ask(submit(6000));
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void aClientThatLeavesCallsItsRequestOff() throws Exception {
+    void aClientThatDisconnectsCancelsItsRequest() throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
         FakeServer upstream = serve(new FakeServer(connection -> {
             connection.read();
@@ -222,19 +222,19 @@
     }
 
     @Test
-    void aClassIsKnownByItsWholeNameAlsoWhereItComesEscaped() throws Exception {
+    void aClassIsMatchedByItsFullNameAlsoWhenEscaped() throws Exception {
         FakeServer upstream = serve(FakeServer.answering(FakeServer.OK));
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"));
         assertEquals(200, client().status(read(3000).replace("/read?", "/r%65ad?")));
-        assertTrue(upstream.nextRequest().startsWith("GET /r%65ad?obj=1 HTTP/1.1"), "it goes on as it came");
+        assertTrue(upstream.nextRequest().startsWith("GET /r%65ad?obj=1 HTTP/1.1"), "the path is forwarded unchanged");
         assertEquals(404, client().status(read(3000).replace("/read?", "/rea?")));
         assertEquals(404, client().status(read(3000).replace("/read?", "/read-2?")));
         assertEquals(404, client().status(read(3000).replace("/read?", "/read%2Dx?")));
     }
 
     @Test
-    void theWarmUpGetsThroughTheWholeRequestPath() throws Exception {
-        // It once stood still after seven requests, and a fresh sidecar then met its first clients cold.
+    void theWarmUpCompletesTheWholeRequestPath() throws Exception {
+        // A warm-up that stalled after seven requests left a new sidecar cold for its first clients.
         assertTrue(Warmup.run(
                 Config.load(Map.of(
                                 "EDGE_CONFIG",
@@ -244,7 +244,7 @@
     }
 
     @Test
-    void theClockCountsOnFromUnixTimeByTheMonotonicClock() {
+    void theClockAdvancesFromUnixTimeByTheMonotonicClock() {
         long[] nanos = {5_000_000};
         Clock clock = new Clock(1_700_000_000_000L, () -> nanos[0]);
         assertEquals(1_700_000_000_000.0, clock.nowMs());
--- a/src/test/java/ivybank/daemon/SidecarRig.java
+++ b/src/test/java/ivybank/daemon/SidecarRig.java
@@ -22,10 +22,10 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** A whole sidecar on loopback for one test, with settings of the test's own. */
+/** A complete sidecar on loopback for one test, with settings of the test. */
 final class SidecarRig implements Closeable {
 
-    /** What may differ from one test to the next. */
+    /** The settings that can differ between tests. */
     static final class Options {
         boolean cancel = true;
         boolean secondCopies;
@@ -34,7 +34,7 @@
         double drainGraceMs = 500;
         InetSocketAddress listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         String extraClasses = "";
-        PrintStream lines = new PrintStream(OutputStream.nullOutputStream());
+        PrintStream logLines = new PrintStream(OutputStream.nullOutputStream());
         Clock clock = Clock.system();
         DrainTimes drainTimes = new DrainTimes(0, 0, 10_000);
     }
@@ -75,7 +75,7 @@
         sidecar = new Sidecar(
                 config,
                 new ConfigFile(environment),
-                new Log(options.lines, clock),
+                new Log(options.logLines, clock),
                 clock,
                 options.drainTimes,
                 Timing.standard(false, config.drainGraceMs()),
@@ -111,7 +111,7 @@
                 + bytes + "\r\n\r\n";
     }
 
-    /** Reads one answer, head and body; null at the end of the connection. */
+    /** Reads one answer with head and body; returns null at the end of the connection. */
     static String readAnswer(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String text = "";
@@ -143,14 +143,14 @@
         drain();
     }
 
-    /** Ends it, once. */
+    /** Shuts the sidecar down, at most once. */
     void drain() {
         if (ended.compareAndSet(false, true)) {
             sidecar.drain();
         }
     }
 
-    /** A client on one connection. */
+    /** A client with one connection. */
     static final class Client implements Closeable {
         final Socket socket;
 
@@ -172,19 +172,19 @@
             return this;
         }
 
-        /** Reads one answer; null at the end of the connection. */
+        /** Reads one answer; returns null at the end of the connection. */
         String read() throws IOException {
             return readAnswer(socket.getInputStream());
         }
 
-        /** Breaks the connection so that the sidecar sees a reset. */
+        /** Closes the connection with a reset. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
-        /** Ends the connection, by a reset or in order. */
-        void leave(boolean reset) throws IOException {
+        /** Closes the connection, with a reset or in order. */
+        void disconnect(boolean reset) throws IOException {
             if (reset) {
                 reset();
             } else {
@@ -201,7 +201,7 @@
             try {
                 close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The socket is closed nevertheless.
             }
         }
     }
--- a/src/test/java/ivybank/daemon/SidecarShutdownTest.java
+++ b/src/test/java/ivybank/daemon/SidecarShutdownTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A sidecar that is told to end. */
+/** Tests the shutdown of a sidecar. */
 @Timeout(30)
-class SidecarEndTest extends SidecarTestBase {
+class SidecarShutdownTest extends SidecarTestBase {
 
     @Test
-    void whatComesAfterTheRestHasBeenFailedIsRefusedAtOnce() throws Exception {
+    void requestsAfterOpenOnesWereFailedAreRefusedAtOnce() throws Exception {
         FakeServer upstream = serve(new FakeServer(connection -> {
-            while (connection.read() != null) { // takes requests and answers none
+            while (connection.read() != null) { // reads requests and answers none
             }
         }));
         drainTimes = new DrainTimes(0, 0, 300);
@@ -39,7 +39,7 @@
                 .collect(Collectors.joining(","));
         start(FakeServer.nobody(), hosts);
         List<Client> clients = new ArrayList<>();
-        for (int i = 0; i < 12; i++) { // so many that a free connection for each of them is not what refuses it
+        for (int i = 0; i < 12; i++) { // so many that requests are not refused for lack of a free connection
             clients.add(client());
             clients.get(i)
                     .write(submit(5000).replace("Id: s", "Id: s" + i)
@@ -56,43 +56,46 @@
     }
 
     @Test
-    void finishesWhatItHasAndStillServesWhatComesWhenToldToEnd() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void finishesRequestsInProgressAndServesNewOnesDuringShutdown() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         FakeServer upstream = serve(new FakeServer(connection -> {
             for (String next = connection.read(); next != null; next = connection.read()) {
                 if (next.contains("hello")) {
-                    go.await();
+                    proceed.await();
                 }
                 connection.write(FakeServer.OK);
             }
         }));
         drainTimes = new DrainTimes(1000, 2000, 10_000);
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"));
-        Client inHand = client();
-        Client kept = client();
-        assertEquals(200, kept.status(ready()));
-        inHand.write(submit(5000));
+        Client inProgress = client();
+        Client idle = client();
+        assertEquals(200, idle.status(ready()));
+        inProgress.write(submit(5000));
         assertNotNull(upstream.nextRequest());
         CompletableFuture<Void> ended = CompletableFuture.runAsync(sidecar::drain);
         Client late = client();
         assertEquals(200, late.status(read(3000)));
         assertThrows(IOException.class, () -> {
-            while (true) { // until nobody listens any more
+            while (true) { // until the listener is closed
                 new Socket(address.getAddress(), address.getPort()).close();
                 Thread.sleep(20);
             }
         });
-        assertEquals(200, kept.status(read(3000)), "for as long as its connection stays open");
-        assertNull(kept.read(), "an idle connection is closed in the end");
+        assertEquals(200, idle.status(read(3000)), "an open connection is still served");
+        assertNull(idle.read(), "an idle connection is not closed at the end");
         assertNull(late.read());
         assertFalse(ended.isDone());
-        go.countDown();
-        assertTrue(inHand.read().endsWith("body"));
+        proceed.countDown();
+        assertTrue(inProgress.read().endsWith("body"));
         ended.get(5, TimeUnit.SECONDS);
         sidecar = null;
     }
 
-    /** What the longest deadline allows, where the configuration's texts are replaced one after another. */
+    /**
+     * Returns the longest drain times for the configuration with these texts replaced, given as pairs of text and
+     * replacement.
+     */
     private DrainTimes longestDrainTimes(String... textsAndReplacements) throws IOException {
         config(FakeServer.nobody(), "", 99);
         String text = Files.readString(dir.resolve("config.json"));
@@ -105,14 +108,14 @@
     }
 
     @Test
-    void servesAfterTheSignalToEndForAsLongAsItCanAnswer() throws Exception {
+    void servesAfterTheShutdownSignalForAsLongAsItCanAnswer() throws Exception {
         DrainTimes times = longestDrainTimes("6000", "2400", "5000", "800", "1500", "600");
         assertEquals(2400 + 700 - 200, times.failOpenMs());
         assertEquals(times.failOpenMs() - 240, times.stopServingMs());
     }
 
     @Test
-    void withShortDeadlinesTheListenerClosesWhileWhatItTookLastCanStillBeAnswered() throws Exception {
+    void withShortDeadlinesTheListenerClosesInTimeForTheLastAnswers() throws Exception {
         DrainTimes times = longestDrainTimes(":6000", ":100", ":5000", ":100", ":1500", ":80");
         assertEquals(100 + 700 - 200, times.failOpenMs());
         assertTrue(
@@ -121,11 +124,11 @@
     }
 
     @Test
-    void afterTheSignalToEndTheClientKeepsAConnectionFree() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void afterTheShutdownSignalAClientConnectionIsKeptFree() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         FakeServer upstream = serve(new FakeServer(connection -> {
             while (connection.read() != null) {
-                go.await();
+                proceed.await();
                 connection.write(FakeServer.OK);
             }
         }));
@@ -138,7 +141,7 @@
         }
         CompletableFuture<Void> ended = CompletableFuture.runAsync(sidecar::drain);
         assertThrows(IOException.class, () -> {
-            while (true) { // until it is ending
+            while (true) { // until the shutdown has begun
                 new Socket(address.getAddress(), address.getPort()).close();
                 Thread.sleep(20);
             }
@@ -150,42 +153,42 @@
         String refusal = clients.get(2).ask(submit(5000));
         assertTrue(refusal.startsWith("HTTP/1.1 503"), refusal);
         assertTrue(refusal.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 1.5\r\n"), refusal);
-        go.countDown();
+        proceed.countDown();
         assertTrue(clients.get(0).read().endsWith("body"));
         assertTrue(clients.get(1).read().endsWith("body"));
-        assertEquals(200, clients.get(2).status(submit(5000)), "its connection stayed open and is of use again");
+        assertEquals(200, clients.get(2).status(submit(5000)), "the refused connection is not usable any more");
         assertFalse(ended.isDone());
         ended.get(10, TimeUnit.SECONDS);
         sidecar = null;
     }
 
     @Test
-    void aConnectionThatSaysNothingIsClosedAlsoAfterTheSignalToEnd() throws Exception {
+    void aSilentConnectionIsClosedAfterTheShutdownSignal() throws Exception {
         drainTimes = new DrainTimes(0, 6000, 10_000);
         start(FakeServer.nobody(), host("s-1", FakeServer.nobody(), "Ready"));
-        Client kept = client();
-        assertEquals(200, kept.status(ready()));
-        Client mute = client();
+        Client idle = client();
+        assertEquals(200, idle.status(ready()));
+        Client silent = client();
         CompletableFuture<Void> ended = CompletableFuture.runAsync(sidecar::drain);
-        assertNull(mute.read());
-        assertEquals(200, kept.status(ready()), "long before the end");
+        assertNull(silent.read());
+        assertEquals(200, idle.status(ready()), "the sidecar does not serve long before its end");
         ended.get(10, TimeUnit.SECONDS);
         sidecar = null;
     }
 
     @Test
-    void whatIsOpenWhenItsTimeIsUpIsFailedBeforeTheProcessEnds() throws Exception {
+    void openRequestsAreFailedBeforeTheProcessEnds() throws Exception {
         FakeServer upstream = serve(new FakeServer(connection -> {
-            while (connection.read() != null) { // takes requests and answers none
+            while (connection.read() != null) { // reads requests and answers none
             }
         }));
         drainTimes = new DrainTimes(0, 0, 300);
         start(FakeServer.nobody(), host("s-1", upstream.address(), "Ready"));
-        Client inHand = client();
-        inHand.write(submit(5000));
+        Client inProgress = client();
+        inProgress.write(submit(5000));
         assertNotNull(upstream.nextRequest());
         CompletableFuture<Void> ended = CompletableFuture.runAsync(sidecar::drain);
-        assertTrue(inHand.read().startsWith("HTTP/1.1 502"));
+        assertTrue(inProgress.read().startsWith("HTTP/1.1 502"));
         ended.get(4, TimeUnit.SECONDS);
         sidecar = null;
     }
--- a/src/test/java/ivybank/daemon/SidecarTestBase.java
+++ b/src/test/java/ivybank/daemon/SidecarTestBase.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A whole sidecar between a client, upstreams and discovery, all on loopback, for one test. */
+/** Base class of tests with a complete sidecar between a client, upstreams and discovery, all on loopback. */
 abstract class SidecarTestBase {
 
-    static final String LIST_END = "\r\n\r\n";
+    static final String HEAD_END = "\r\n\r\n";
 
     @TempDir
     Path dir;
@@ -34,16 +34,16 @@
     Sidecar sidecar;
     /** How far the sidecar's clock is ahead of this machine's. */
     final AtomicLong aheadNanos = new AtomicLong();
-    /** Where it stands still, if it does. */
+    /** The time at which the clock is frozen, or 0. */
     final AtomicLong frozenNanos = new AtomicLong();
 
     final Clock clock = new Clock(
             System.currentTimeMillis(),
             () -> frozenNanos.get() != 0 ? frozenNanos.get() : System.nanoTime() + aheadNanos.get());
-    PrintStream lines = new PrintStream(OutputStream.nullOutputStream());
+    PrintStream logLines = new PrintStream(OutputStream.nullOutputStream());
     DrainTimes drainTimes = new DrainTimes(0, 0, 10_000);
     InetSocketAddress address;
-    /** The clients' socket where the platform keeps it, else null. */
+    /** The clients' listening socket if it is inherited, else null. */
     ServerSocketChannel inherited;
 
     @AfterEach
@@ -66,7 +66,7 @@
         sidecar = new Sidecar(
                 Config.load(environment),
                 new ConfigFile(environment),
-                new Log(lines, clock),
+                new Log(logLines, clock),
                 clock,
                 drainTimes,
                 Timing.standard(false, 500),
@@ -122,12 +122,12 @@
             out.flush();
         }
 
-        /** Reads one answer; null at the end of the connection. */
+        /** Reads one answer; returns null at the end of the connection. */
         String read() throws IOException {
             return SidecarRig.readAnswer(socket.getInputStream());
         }
 
-        /** As {@link #read}, where the end may be a reset, for what was written has not been read. */
+        /** Reads like {@link #read}, where the end may also be a reset because written data was not read. */
         String readOrReset() {
             try {
                 return read();
@@ -153,7 +153,7 @@
     }
 
     static String read(int budgetMs) {
-        return "GET /read?obj=1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Budget-Ms: " + budgetMs + LIST_END;
+        return "GET /read?obj=1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Budget-Ms: " + budgetMs + HEAD_END;
     }
 
     static String submit(int budgetMs) {
@@ -167,15 +167,17 @@
 
     static void answerList(FakeServer.Connection connection, int seq, String hosts) throws IOException {
         String list = "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[" + hosts + "]}";
-        connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + LIST_END + list);
+        connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + HEAD_END + list);
     }
 
     static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** A discovery that gives this list, then a watch that says {@code later} once {@code go} is counted down. */
-    FakeServer roster(int seq, String hosts, CountDownLatch go, String later) throws IOException {
+    /**
+     * Starts a discovery that returns this list, then a watch that sends {@code later} once {@code go} is counted down.
+     */
+    FakeServer discoveryServer(int seq, String hosts, CountDownLatch go, String later) throws IOException {
         return serve(new FakeServer(connection -> {
             for (String call = connection.read(); call != null; call = connection.read()) {
                 if (!call.contains("stream=1")) {
@@ -193,7 +195,7 @@
         }));
     }
 
-    void awaitAnswer(String end) throws Exception {
+    void awaitAnswerEndingWith(String end) throws Exception {
         while (!client().ask(read(3000)).endsWith(end)) {
             Thread.sleep(10);
         }
--- a/src/test/java/ivybank/daemon/StartupAndShutdownTest.java
+++ b/src/test/java/ivybank/daemon/StartupAndShutdownTest.java
@@ -24,9 +24,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The first and the last moment of a process, in which something is owed already or still. Each bad order is made. */
+/**
+ * Tests the start and the end of a process, when requests or list updates are already or still pending. Each test
+ * forces one problematic order of events.
+ */
 @Timeout(30)
-class BeginningsAndEndingsTest {
+class StartupAndShutdownTest {
 
     @TempDir
     Path dir;
@@ -51,17 +54,17 @@
         }
     }
 
-    /** What the agent has counts as told from the first moment of a process, whatever the configuration's list says. */
+    /** Changes that the discovery agent has count from the start of a process, whatever the configured list says. */
     @Test
-    void nobodyIsServedFromAnOldListBeforeTheAgentHasAnswered() throws Exception {
+    void clientsAreNotServedFromAStaleListBeforeTheAgentHasAnswered() throws Exception {
         FakeServer drains = FakeServer.answering(FakeServer.OK.replace("body", "old."));
         FakeServer ready = FakeServer.answering(FakeServer.OK);
         CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         FakeServer agent = new FakeServer(connection -> {
             connection.read();
             asked.countDown();
-            go.await();
+            proceed.await();
             SidecarRig.answerList(
                     connection,
                     SidecarRig.list(
@@ -72,7 +75,7 @@
             connection.read();
         });
         options.listen = freeAddress();
-        options.drainGraceMs = 3000; // the agent may take half of it
+        options.drainGraceMs = 3000; // the agent can take half of it
         try (drains;
                 ready;
                 agent) {
@@ -85,10 +88,10 @@
             });
             asked.await();
             for (int i = 0; i < 10; i++) {
-                assertFalse(listens(options.listen), "with the list of before");
+                assertFalse(listens(options.listen), "served from the stale list");
                 Thread.sleep(10);
             }
-            go.countDown();
+            proceed.countDown();
             try (SidecarRig rig = started.get(5, TimeUnit.SECONDS)) {
                 for (int i = 0; i < 20; i++) {
                     assertTrue(
@@ -100,7 +103,7 @@
     }
 
     @Test
-    void anAgentThatSaysNothingIsNotWaitedForLongerThanADrainsGraceAllows() throws Exception {
+    void theWaitForASilentAgentIsBoundedByTheDrainGrace() throws Exception {
         FakeServer node = FakeServer.answering(FakeServer.OK);
         FakeServer agent = new FakeServer(
                 connection -> connection.socket.getInputStream().transferTo(OutputStream.nullOutputStream()));
@@ -111,19 +114,19 @@
                 long waitedMs = (System.nanoTime() - from) / 1_000_000;
                 assertTrue(
                         rig.client().write(SidecarRig.read("a")).read().endsWith("body"),
-                        "it goes on with the list that it has");
+                        "the sidecar continues with the known list");
                 assertTrue(waitedMs < 3000, "waited " + waitedMs + " ms");
             }
         }
     }
 
-    /** Those that stand in the backlog when the listener is to close have sent their requests already. */
+    /** Clients in the accept backlog when the listener closes have already sent their requests. */
     @Test
-    void whoStandsInTheBacklogWhenTheListenerClosesIsAnswered() throws Exception {
+    void clientsInTheBacklogAreAnsweredWhenTheListenerCloses() throws Exception {
         FakeServer node = FakeServer.answering(FakeServer.OK);
         CountDownLatch halted = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        options.lines = HaltingLines.at("drain started", halted, go);
+        CountDownLatch proceed = new CountDownLatch(1);
+        options.logLines = HaltingLines.at("drain started", halted, proceed);
         options.drainTimes = new DrainTimes(1, 2000, 3000);
         try (node;
                 SidecarRig rig =
@@ -134,8 +137,8 @@
             for (int i = 0; i < 60; i++) {
                 clients.add(rig.client().write(SidecarRig.read("b" + i)));
             }
-            Thread.sleep(20); // the listener's close is overdue
-            go.countDown();
+            Thread.sleep(20); // the close of the listener is overdue
+            proceed.countDown();
             for (Client each : clients) {
                 String answer = each.read();
                 assertNotNull(answer, "closed without an answer");
@@ -145,9 +148,9 @@
         }
     }
 
-    /** Half of the nodes hang just when it is told to end: what is in hand has its answer before the process ends. */
+    /** Nodes hang when the sidecar is told to shut down: requests in progress are answered before the process ends. */
     @Test
-    void whatHangsAtTheEndIsFailedAndWhatComesMeanwhileIsAnswered() throws Exception {
+    void hangingRequestsFailAtShutdownAndNewRequestsAreAnswered() throws Exception {
         FakeServer hangs = new FakeServer(
                 connection -> connection.socket.getInputStream().transferTo(OutputStream.nullOutputStream()));
         options.deadlineMs = 600;
@@ -166,8 +169,7 @@
             long from = System.nanoTime();
             CompletableFuture<Void> ended = CompletableFuture.runAsync(rig::drain);
             assertTrue(
-                    idle.write(SidecarRig.read("late")).read().startsWith("HTTP/1.1 "),
-                    "a connection that is open is served");
+                    idle.write(SidecarRig.read("late")).read().startsWith("HTTP/1.1 "), "an open connection is served");
             for (Client each : clients) {
                 String answer = each.read();
                 assertTrue(answer.startsWith("HTTP/1.1 50"), answer);
@@ -178,27 +180,27 @@
         }
     }
 
-    /** The process ends only when the last answer has left, also where its client reads slowly. */
+    /** The process ends only when the last answer has been sent, also where its client reads slowly. */
     @Test
-    void anAnswerThatIsStillInTheBufferKeepsTheProcess() throws Exception {
+    void theProcessWaitsForBufferedAnswers() throws Exception {
         FakeServer node = FakeServer.answering("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + "x".repeat(60_000));
         options.drainTimes = new DrainTimes(1, 50, 4000);
         try (node;
                 SidecarRig rig =
                         new SidecarRig(dir, FakeServer.nobody(), host("s-1", node.address(), "Ready"), options)) {
             Client client = rig.client();
-            for (int i = 0; i < 50; i++) { // more than the sockets hold
+            for (int i = 0; i < 50; i++) { // more than the socket buffers hold
                 client.write(SidecarRig.read("n" + i));
             }
             Thread.sleep(300);
             CompletableFuture<Void> ended = CompletableFuture.runAsync(rig::drain);
             Thread.sleep(300);
-            int whole = 0;
+            int completeAnswers = 0;
             for (String answer = client.read(); answer != null; answer = client.read()) {
                 assertTrue(answer.endsWith("xxxx"));
-                whole++;
+                completeAnswers++;
             }
-            assertEquals(50, whole);
+            assertEquals(50, completeAnswers);
             ended.get(10, TimeUnit.SECONDS);
         }
     }
--- a/src/test/java/ivybank/daemon/StreamedBodiesTest.java
+++ b/src/test/java/ivybank/daemon/StreamedBodiesTest.java
@@ -34,17 +34,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Bodies that are passed on in pieces, through a whole sidecar. */
+/** Tests long bodies that are streamed through a complete sidecar. */
 @Timeout(30)
-class LongBodiesTest {
+class StreamedBodiesTest {
 
-    /** More than the sockets on the way hold together. */
-    private static final int LENGTH = 24 << 20;
+    /** More than all socket buffers on the way hold together. */
+    private static final int BODY_BYTES = 24 << 20;
 
-    private static final byte[] LONG = new byte[LENGTH];
+    private static final byte[] LONG_BODY = new byte[BODY_BYTES];
 
     static {
-        new Random(7).nextBytes(LONG);
+        new Random(7).nextBytes(LONG_BODY);
     }
 
     @TempDir
@@ -127,8 +127,8 @@
         return text.toString();
     }
 
-    /** The body that a chunked message has; null where it breaks off. */
-    private static byte[] chunks(Socket socket) throws IOException {
+    /** Reads the body of a chunked message; returns null where it is cut off. */
+    private static byte[] readChunked(Socket socket) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         InputStream in = socket.getInputStream();
         while (true) {
@@ -148,77 +148,77 @@
         }
     }
 
-    private static byte[] fixed(Socket socket) throws IOException {
-        return socket.getInputStream().readNBytes(LENGTH);
+    private static byte[] readFixed(Socket socket) throws IOException {
+        return socket.getInputStream().readNBytes(BODY_BYTES);
     }
 
     @Test
-    void aLongAnswerIsReadFromTheNodeNoFasterThanTheClientReadsIt() throws Exception {
+    void aLongAnswerIsReadNoFasterThanItsClientReads() throws Exception {
         AtomicInteger sent = new AtomicInteger();
         start(new FakeServer(connection -> {
             connection.read();
-            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
-            for (int at = 0; at < LENGTH; at += 8192) {
-                connection.socket.getOutputStream().write(LONG, at, 8192);
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n");
+            for (int at = 0; at < BODY_BYTES; at += 8192) {
+                connection.socket.getOutputStream().write(LONG_BODY, at, 8192);
                 sent.addAndGet(8192);
             }
         }));
         Socket client = connect();
         write(client, read(""));
-        assertTrue(head(client).contains("content-length: " + LENGTH));
+        assertTrue(head(client).contains("content-length: " + BODY_BYTES));
         int before = -1;
-        while (before != sent.get()) { // until it comes to a halt
+        while (before != sent.get()) { // until the transfer has stopped
             before = sent.get();
             Thread.sleep(300);
         }
-        assertTrue(before < LENGTH, "all was read into memory");
-        assertArrayEquals(LONG, fixed(client));
+        assertTrue(before < BODY_BYTES, "the whole answer was read into memory");
+        assertArrayEquals(LONG_BODY, readFixed(client));
         write(client, "GET /health/ready HTTP/1.1\r\n\r\n");
-        assertTrue(head(client).contains(" 200 "), "the connection goes on");
+        assertTrue(head(client).contains(" 200 "), "the connection is not usable any more");
     }
 
     @Test
-    void aLongAnswerComesWholeInEachOfItsFormsAndTheClientCanTellWhereItBreaks() throws Exception {
-        BlockingQueue<String> forms = new LinkedBlockingQueue<>();
+    void aLongAnswerIsCompleteInEachFramingAndATruncationIsDetectable() throws Exception {
+        BlockingQueue<String> framings = new LinkedBlockingQueue<>();
         start(new FakeServer(connection -> {
             while (connection.read() != null) {
-                String form = forms.take();
+                String framing = framings.take();
                 connection.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"
-                        + (form.startsWith("chunked")
-                                ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(LENGTH) + "\r\n"
-                                : form.startsWith("close")
+                        + (framing.startsWith("chunked")
+                                ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(BODY_BYTES) + "\r\n"
+                                : framing.startsWith("close")
                                         ? "Connection: close\r\n\r\n"
-                                        : "Content-Length: " + (LENGTH + 1) + "\r\n\r\n"));
-                connection.socket.getOutputStream().write(LONG);
-                if (form.equals("chunked")) {
+                                        : "Content-Length: " + (BODY_BYTES + 1) + "\r\n\r\n"));
+                connection.socket.getOutputStream().write(LONG_BODY);
+                if (framing.equals("chunked")) {
                     connection.write("\r\n0\r\nX-Trailer: 1\r\n\r\n");
-                } else if (form.endsWith("reset")) {
+                } else if (framing.endsWith("reset")) {
                     connection.reset();
                 } else {
                     connection.socket.close();
                 }
             }
         }));
-        for (String form : List.of("chunked", "close")) {
-            forms.add(form);
+        for (String framing : List.of("chunked", "close")) {
+            framings.add(framing);
             Socket client = connect();
             write(client, read(""));
-            assertTrue(head(client).contains("transfer-encoding: chunked"), form);
-            assertArrayEquals(LONG, chunks(client), form);
+            assertTrue(head(client).contains("transfer-encoding: chunked"), framing);
+            assertArrayEquals(LONG_BODY, readChunked(client), framing);
         }
-        for (String form : List.of("chunked, cut", "close, reset")) {
-            forms.add(form);
+        for (String framing : List.of("chunked, cut", "close, reset")) {
+            framings.add(framing);
             Socket client = connect();
             write(client, read(""));
-            assertTrue(head(client).contains("transfer-encoding: chunked"), form);
-            assertNull(orNull(() -> chunks(client)), form);
+            assertTrue(head(client).contains("transfer-encoding: chunked"), framing);
+            assertNull(orNull(() -> readChunked(client)), framing);
         }
-        forms.add("length, cut");
+        framings.add("length, cut");
         Socket client = connect();
         write(client, read(""));
-        assertTrue(head(client).contains("content-length: " + (LENGTH + 1)));
-        byte[] all = orNull(() -> client.getInputStream().readNBytes(LENGTH + 1));
-        assertTrue(all == null || all.length <= LENGTH);
+        assertTrue(head(client).contains("content-length: " + (BODY_BYTES + 1)));
+        byte[] received = orNull(() -> client.getInputStream().readNBytes(BODY_BYTES + 1));
+        assertTrue(received == null || received.length <= BODY_BYTES);
     }
 
     private interface Reading {
@@ -234,7 +234,7 @@
     }
 
     @Test
-    void aLongRequestGoesOnAsItComesAndItsTimeCountsFromItsLastByte() throws Exception {
+    void aLongRequestIsStreamedAndItsTimeCountsFromItsLastByte() throws Exception {
         BlockingQueue<byte[]> bodies = new LinkedBlockingQueue<>();
         start(new FakeServer(connection -> {
             while (true) {
@@ -242,80 +242,80 @@
                 if (head == null) {
                     return;
                 }
-                bodies.add(head.contains("chunked") ? chunks(connection.socket) : fixed(connection.socket));
+                bodies.add(head.contains("chunked") ? readChunked(connection.socket) : readFixed(connection.socket));
                 connection.write(FakeServer.OK);
             }
         }));
         Socket client = connect();
-        write(client, submit(400, "Content-Length: " + LENGTH + "\r\n"));
+        write(client, submit(400, "Content-Length: " + BODY_BYTES + "\r\n"));
         OutputStream out = client.getOutputStream();
-        out.write(LONG, 0, LENGTH / 2);
-        Thread.sleep(800); // twice what the client will wait for the answer
-        out.write(LONG, LENGTH / 2, LENGTH - LENGTH / 2);
+        out.write(LONG_BODY, 0, BODY_BYTES / 2);
+        Thread.sleep(800); // twice the time budget of the request
+        out.write(LONG_BODY, BODY_BYTES / 2, BODY_BYTES - BODY_BYTES / 2);
         assertTrue(head(client).contains(" 200 "));
-        assertArrayEquals(LONG, bodies.poll());
+        assertArrayEquals(LONG_BODY, bodies.poll());
         client.getInputStream().skipNBytes(4);
-        write(client, submit(2000, "Transfer-Encoding: chunked\r\n") + Integer.toHexString(LENGTH) + "\r\n");
-        out.write(LONG);
+        write(client, submit(2000, "Transfer-Encoding: chunked\r\n") + Integer.toHexString(BODY_BYTES) + "\r\n");
+        out.write(LONG_BODY);
         write(client, "\r\n0\r\n\r\n");
-        assertTrue(head(client).contains(" 200 "), "the next on the same connection");
-        assertArrayEquals(LONG, bodies.poll());
+        assertTrue(head(client).contains(" 200 "), "the next request on the same connection fails");
+        assertArrayEquals(LONG_BODY, bodies.poll());
     }
 
     @Test
-    void aLongRequestThatANodeBreaksOffHasNotRunAndIsRefusedNotSentAgain() throws Exception {
-        AtomicInteger begun = new AtomicInteger();
-        FakeServer.Script breaking = connection -> {
-            begun.incrementAndGet();
+    void aLongRequestThatANodeResetsIsRefusedAndNotSentAgain() throws Exception {
+        AtomicInteger startedAttempts = new AtomicInteger();
+        FakeServer.Script resettingNode = connection -> {
+            startedAttempts.incrementAndGet();
             head(connection.socket);
             connection.socket.getInputStream().readNBytes(200_000);
             connection.reset();
         };
-        start(new FakeServer(breaking), new FakeServer(breaking));
+        start(new FakeServer(resettingNode), new FakeServer(resettingNode));
         Socket client = connect();
-        write(client, submit(5000, "Content-Length: " + LENGTH + "\r\n"));
-        client.getOutputStream().write(LONG); // all of it can be written
+        write(client, submit(5000, "Content-Length: " + BODY_BYTES + "\r\n"));
+        client.getOutputStream().write(LONG_BODY); // the complete body can be written
         String answer = head(client);
         assertTrue(answer.contains(" 503 ") && answer.contains("retry-after"), answer);
-        assertEquals(1, begun.get());
+        assertEquals(1, startedAttempts.get());
         assertEquals(-1, client.getInputStream().read());
     }
 
     @Test
-    void aLongRequestThatItsClientBreaksOffNeverEndsAtTheNode() throws Exception {
+    void aLongRequestThatItsClientAbortsIsNotCompletedAtTheNode() throws Exception {
         BlockingQueue<Integer> read = new LinkedBlockingQueue<>();
         start(new FakeServer(connection -> {
             head(connection.socket);
-            read.add(connection.socket.getInputStream().readNBytes(LENGTH).length);
+            read.add(connection.socket.getInputStream().readNBytes(BODY_BYTES).length);
         }));
         Socket client = connect();
-        write(client, submit(5000, "Content-Length: " + LENGTH + "\r\n"));
-        client.getOutputStream().write(LONG, 0, LENGTH - 1);
+        write(client, submit(5000, "Content-Length: " + BODY_BYTES + "\r\n"));
+        client.getOutputStream().write(LONG_BODY, 0, BODY_BYTES - 1);
         client.close();
         Integer bytes = read.poll(5, TimeUnit.SECONDS);
         assertNotNull(bytes, "the node still waits");
-        assertTrue(bytes < LENGTH);
+        assertTrue(bytes < BODY_BYTES);
     }
 
     @Test
-    void aLongRequestThatComesTooSlowlyIsCutOffAndOneOfABadFormIsRefused() throws Exception {
+    void aSlowLongRequestTimesOutAndAMalformedOneIsRefused() throws Exception {
         start(new FakeServer(connection -> {
             head(connection.socket);
-            assertFalse(connection.socket.getInputStream().readAllBytes().length == LENGTH);
+            assertFalse(connection.socket.getInputStream().readAllBytes().length == BODY_BYTES);
         }));
         Socket slow = connect();
-        write(slow, submit(5000, "Content-Length: " + LENGTH + "\r\n"));
-        slow.getOutputStream().write(LONG, 0, 100_000);
+        write(slow, submit(5000, "Content-Length: " + BODY_BYTES + "\r\n"));
+        slow.getOutputStream().write(LONG_BODY, 0, 100_000);
         Socket bad = connect();
         write(bad, submit(5000, "Transfer-Encoding: chunked\r\n").replace("Id: s", "Id: t") + "20000\r\n");
-        bad.getOutputStream().write(LONG, 0, 0x20000);
+        bad.getOutputStream().write(LONG_BODY, 0, 0x20000);
         write(bad, "\r\nno chunk\r\n");
         assertTrue(head(bad).contains(" 400 "));
         assertTrue(head(slow).contains(" 408 "));
     }
 
     @Test
-    void aClientThatWaitsForLeaveGetsItAndATargetMayNameTheServer() throws Exception {
+    void expectContinueIsAnsweredAndAnAbsoluteTargetIsAccepted() throws Exception {
         FakeServer node = FakeServer.answering(FakeServer.OK);
         start(node);
         Socket client = connect();
@@ -331,24 +331,24 @@
     }
 
     /**
-     * An answer without a length that begins before its request has ended, and is reset while the sidecar still writes: the end
-     * is found by the write, not by the read, and is none.
+     * An answer without a length begins before its request has ended, and its connection is reset while the sidecar
+     * still writes. The write finds the reset, not the read, and it must not count as the end of the answer.
      */
     @Test
-    void anAnswerThatIsResetWhileItsRequestIsStillWrittenIsNotWhole() throws Exception {
+    void anAnswerThatIsResetWhileItsRequestIsWrittenIsIncomplete() throws Exception {
         start(new FakeServer(connection -> {
             connection.socket.getInputStream().readNBytes(1000);
             connection.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart of it");
-            Thread.sleep(400); // until the sockets on the way are full and a write waits
+            Thread.sleep(400); // until the socket buffers are full and a write is pending
             connection.reset();
         }));
         Socket client = connect();
         Thread writer = new Thread(() -> {
             try {
-                write(client, submit(5000, "Content-Length: " + LENGTH + "\r\n"));
-                client.getOutputStream().write(LONG);
+                write(client, submit(5000, "Content-Length: " + BODY_BYTES + "\r\n"));
+                client.getOutputStream().write(LONG_BODY);
             } catch (IOException e) {
-                // It is answered before its end.
+                // The request is answered before its end.
             }
         });
         writer.start();
