--- a/src/test/java/ivybank/daemon/OperationsTest.java
+++ b/src/test/java/ivybank/daemon/OperationsTest.java
@@ -383,9 +383,9 @@
             Thread.sleep(5);
         }
         Thread.sleep(3000); // as long as it takes to declare a member dead
-        String said = otherLog.toString(StandardCharsets.UTF_8);
-        assertFalse(said.contains("given up") || said.contains("has left"), said);
-        assertTrue(other.asked().toCompletableFuture().get().contains("\"peers\":1"), said);
+        String output = otherLog.toString(StandardCharsets.UTF_8);
+        assertFalse(output.contains("given up") || output.contains("has left"), output);
+        assertTrue(other.asked().toCompletableFuture().get().contains("\"peers\":1"), output);
     }
 
     private static void awaitLogged(ByteArrayOutputStream log, String what) throws InterruptedException {
@@ -451,9 +451,9 @@
         builder.environment().put("EDGE_CONFIG", "deploy/archive.json");
         Process process = builder.start();
         toClose.add(process::destroyForcibly);
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(1, process.waitFor());
-        assertTrue(said.contains("EDGE_INHERITED_FD is 0: it must be 0, and that a listening TCP socket"), said);
-        assertFalse(said.contains("Exception"), said);
+        assertTrue(output.contains("EDGE_INHERITED_FD is 0: it must be 0, and that a listening TCP socket"), output);
+        assertFalse(output.contains("Exception"), output);
     }
 }
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -109,7 +109,7 @@
         inherited = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         start(FakeServer.nobody(), String.join(",", hosts), 300);
         sidecar.handOver(folder);
-        MemoryFiles other = new MemoryFiles(folder, 1, said -> {});
+        MemoryFiles other = new MemoryFiles(folder, 1, line -> {});
         sidecar.siblingPresent(true);
         writeMemory(other, 55);
         assertRefused(2, 10 + 2);
