--- a/src/main/java/ivybank/cli/FleetCommand.java
+++ b/src/main/java/ivybank/cli/FleetCommand.java
@@ -68,7 +68,7 @@
             Map<String, Double> figures = new LinkedHashMap<>();
             sum.figures().forEach(figure -> figures.put(figure.name(), figure.value()));
             all.put("figures", figures);
-            all.put("left out", sum.leftOut());
+            all.put("left out", sum.skippedLines());
             if (faults != null) {
                 Map<String, String> full = new LinkedHashMap<>();
                 faults.forEach(fault ->
@@ -92,8 +92,8 @@
         }
         System.out.println("\nnodes with the most attempts timed out:");
         sum.mostTimedOut(MAX_WORST_NODES).forEach(System.out::println);
-        if (sum.leftOut() > 0) {
-            System.out.println(sum.leftOut() + " lines were malformed or of another period and are left out");
+        if (sum.skippedLines() > 0) {
+            System.out.println(sum.skippedLines() + " lines were malformed or of another period and are left out");
         }
         if (before != null) {
             System.out.println("\nout of proportion against " + other + ":");
@@ -125,7 +125,7 @@
 
     private static JsonNode ask(String endpoint) throws InputException {
         try {
-            return FleetViewClient.ask(
+            return FleetViewClient.fetch(
                     (endpoint.contains("://") ? endpoint : "http://" + endpoint).replaceAll("/+$", ""),
                     ADMIN_CALL_TIMEOUT_MS);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -3,12 +3,12 @@
 import ivybank.operator.OperatorFile;
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.store.Disk;
+import ivybank.store.FileSystemDisk;
 import ivybank.store.Limits;
-import ivybank.store.Maintenance;
-import ivybank.store.RealDisk;
 import ivybank.store.RecoveryReport;
 import ivybank.store.StoreException;
 import ivybank.store.StoreIdentity;
+import ivybank.store.StoreMaintenance;
 import ivybank.toml.InputException;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -42,7 +42,7 @@
         if (!Files.isDirectory(folder)) {
             throw new InputException(folder + ": is not a folder");
         }
-        return RealDisk.take(folder);
+        return FileSystemDisk.lock(folder);
     }
 
     @Command(
@@ -56,8 +56,8 @@
                     String name)
             throws IOException {
         try {
-            StoreIdentity made = Maintenance.make(
-                    RealDisk.take(folder),
+            StoreIdentity made = StoreMaintenance.create(
+                    FileSystemDisk.lock(folder),
                     INSPECTION_LIMITS,
                     name,
                     () -> UUID.randomUUID().toString());
@@ -78,7 +78,7 @@
         if (report == null) {
             return Ivybank.EXIT_FAILED;
         }
-        System.out.println(folder + ": " + report.line());
+        System.out.println(folder + ": " + report.summary());
         System.out.println(ownership(folder));
         try (var files = Files.list(folder)) {
             for (Path file : files.sorted().toList()) {
@@ -95,17 +95,18 @@
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException, InputException {
         RecoveryReport report = read(folder);
         if (report != null) {
-            System.out.println(folder + ": " + (report.damage().isEmpty() ? "good; " : "") + report.line());
+            System.out.println(folder + ": " + (report.damage().isEmpty() ? "good; " : "") + report.summary());
         }
         return report != null && report.damage().isEmpty() ? 0 : Ivybank.EXIT_FAILED;
     }
 
     private static String ownership(Path folder) throws IOException, InputException {
         try (Disk disk = open(folder)) {
-            StoreIdentity identity = StoreIdentity.of(disk);
+            StoreIdentity identity = StoreIdentity.readIfPresent(disk);
             return identity == null
                     ? "it has no owner, as a store of an earlier version"
-                    : "owner " + identity.owner() + ", id " + identity.id() + ", opened " + identity.life() + " times";
+                    : "owner " + identity.owner() + ", id " + identity.id() + ", opened " + identity.incarnation()
+                            + " times";
         } catch (StoreException e) {
             return e.getMessage();
         }
@@ -113,7 +114,7 @@
 
     private static RecoveryReport read(Path folder) throws IOException, InputException {
         try {
-            return Maintenance.verify(open(folder));
+            return StoreMaintenance.verify(open(folder));
         } catch (StoreException e) {
             System.err.println("ivybank: " + folder + ": " + e.getMessage());
             return null;
@@ -129,7 +130,8 @@
         StoreSettings settings =
                 operator == null ? null : OperatorFile.read(operator).store();
         try {
-            long[] bytes = Maintenance.compact(open(folder), settings == null ? INSPECTION_LIMITS : settings.limits());
+            long[] bytes =
+                    StoreMaintenance.compact(open(folder), settings == null ? INSPECTION_LIMITS : settings.limits());
             System.out.println(folder + ": " + bytes[0] + " bytes before, " + bytes[1] + " now");
             return 0;
         } catch (StoreException e) {
--- a/src/main/java/ivybank/cli/ViewTable.java
+++ b/src/main/java/ivybank/cli/ViewTable.java
@@ -65,7 +65,7 @@
      */
     private static String comparedState(Reply reply, int index) {
         JsonNode member = member(reply, index);
-        return member == null || !FleetViewClient.lives(member) ? ABSENT : state(member);
+        return member == null || !FleetViewClient.isAlive(member) ? ABSENT : state(member);
     }
 
     private static String state(JsonNode member) {
--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -7,7 +7,7 @@
 import ivybank.exchange.SendRecord;
 import ivybank.invariants.InvariantGuard;
 import ivybank.invariants.InvariantGuard.Transmission;
-import ivybank.invariants.Repeat;
+import ivybank.invariants.RepeatRisk;
 import ivybank.invariants.Verdict;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.policy.Balancer.Settings;
@@ -104,18 +104,18 @@
     private UpstreamAttempt.Listener listener(Exchange exchange, Node node, int number, double begunMs) {
         return new UpstreamAttempt.Listener() {
             @Override
-            public void began(Answer answer) {
+            public void answerStarted(Answer answer) {
                 listener.responseStarted(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), answer);
             }
 
             @Override
-            public double mostToldMs() {
+            public double maxBudgetMs() {
                 return exchange.minClientLeftMs(clock.nowMs()) + MAX_FORWARDED_BUDGET_EXCESS_MS;
             }
 
             @Override
             public Verdict mayBeWritten(double toldMs) {
-                return guard.sending(transmission(exchange, node, number, toldMs));
+                return guard.checkSend(transmission(exchange, node, number, toldMs));
             }
 
             @Override
@@ -127,7 +127,7 @@
 
     private Transmission transmission(Exchange exchange, Node node, int number, double toldMs) {
         double nowMs = clock.nowMs();
-        List<Repeat.Other> others = IntStream.range(0, exchange.attempts.size())
+        List<RepeatRisk.OtherAttempt> others = IntStream.range(0, exchange.attempts.size())
                 .filter(each -> each != number)
                 .mapToObj(each -> exchange.attempts.get(each).asOther())
                 .toList();
@@ -138,7 +138,7 @@
                 toldMs,
                 exchange.maxClientLeftMs(nowMs),
                 exchange.minClientLeftMs(nowMs),
-                Repeat.of(
+                RepeatRisk.of(
                         settings.classes().get(exchange.request.requestClass()),
                         others,
                         node.zone(),
@@ -147,21 +147,21 @@
     }
 
     private void count(Exchange exchange, Node node, double nowMs, boolean first, boolean immediate) {
-        if (first && !exchange.request.arriving()) {
-            tally.took(immediate ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
+        if (first && !exchange.request.isIncomplete()) {
+            tally.stageCompleted(immediate ? Stage.DECISION : Stage.ROOM, nowMs - exchange.request.arrivedMs());
         }
         double startedMs = node.startedMs();
         double ageMs = startedMs <= 0 ? Double.POSITIVE_INFINITY : nowMs - startedMs;
-        tally.sent(node.host, Tally.Age.of(ageMs, settings.contract().coldMs()));
+        tally.attemptSent(node.host, Tally.Age.of(ageMs, settings.contract().coldMs()));
     }
 
     private void send(Exchange exchange, UpstreamAttempt attempt) {
-        SendRecord record = exchange.request.record();
+        SendRecord record = exchange.request.sendRecord();
         if (record == null) {
             pool.send(attempt);
-        } else if (record.recorded()) {
-            record.sending();
-            attempt.goOut();
+        } else if (record.isRecorded()) {
+            record.attemptStarted();
+            attempt.markDispatched();
             pool.send(attempt);
         } else {
             record.record(() -> sendUnlessEnded(exchange, attempt), () -> endUnrecorded(exchange, attempt));
--- a/src/main/java/ivybank/daemon/Config.java
+++ b/src/main/java/ivybank/daemon/Config.java
@@ -6,7 +6,7 @@
 import ivybank.discovery.HostUpdate;
 import ivybank.discovery.Timing;
 import ivybank.policy.Balancer.Settings;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -109,11 +109,11 @@
                 (int) number(root, "/limits/sockets", DEFAULT_SOCKETS),
                 number(settings, "/limits/connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS),
                 number(settings, "/limits/connIdleMs", DEFAULT_CONNECTION_IDLE_MS),
-                number(settings, "/contract/drainGraceMs", Timing.USUAL_GRACE_MS),
+                number(settings, "/contract/drainGraceMs", Timing.DEFAULT_DRAIN_GRACE_MS),
                 strings(settings.path("failureDomains")),
                 strings(settings.path("kinds")),
-                known.isObject() ? HostUpdate.read(known) : HostUpdate.NOTHING_KNOWN,
-                SettingsText.parse(text.toString()),
+                known.isObject() ? HostUpdate.read(known) : HostUpdate.EMPTY,
+                SettingsParser.parse(text.toString()),
                 limitsSummary(root.path("limits")));
     }
 
--- a/src/main/java/ivybank/daemon/ConfigReload.java
+++ b/src/main/java/ivybank/daemon/ConfigReload.java
@@ -4,8 +4,8 @@
 import io.netty.util.NetUtil;
 import ivybank.common.Clock;
 import ivybank.common.Log;
-import ivybank.supervision.Chain;
 import ivybank.supervision.EventLoopTasks;
+import ivybank.supervision.SupervisedTask;
 import java.net.InetSocketAddress;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
@@ -16,7 +16,7 @@
  * change while the sidecar runs. An unreadable file is retried, at first often and then rarely, until it can be read or
  * another signal arrives. Runs on the event loop, so that the last signal uses the newest content.
  */
-final class ConfigReload implements Chain {
+final class ConfigReload implements SupervisedTask {
 
     private enum State {
         IDLE,
--- a/src/main/java/ivybank/daemon/Exchange.java
+++ b/src/main/java/ivybank/daemon/Exchange.java
@@ -57,7 +57,7 @@
      * sent again.
      */
     boolean isBodyConsumed() {
-        return request.rest() != null && request.rest().taken();
+        return request.remainingBody() != null && request.remainingBody().isAttached();
     }
 
     /**
@@ -65,7 +65,7 @@
      * last byte.
      */
     double sentMs(double startedMs, double nowMs) {
-        if (request.rest() == null) {
+        if (request.remainingBody() == null) {
             return startedMs;
         }
         double arrivedMs = isArriving() ? nowMs : deadlineMs - request.budgetMs();
@@ -79,7 +79,8 @@
 
     /** Returns the minimum time that the client has left: a request may have arrived before it was read. */
     double minClientLeftMs(double nowMs) {
-        double byArrivalMs = request.rest() == null ? earliestArrivalMs + request.budgetMs() - nowMs : Double.MAX_VALUE;
+        double byArrivalMs =
+                request.remainingBody() == null ? earliestArrivalMs + request.budgetMs() - nowMs : Double.MAX_VALUE;
         return Math.min(byArrivalMs, maxClientLeftMs(nowMs));
     }
 
@@ -101,18 +102,18 @@
     void abandonUnsent() {
         for (int number = 0; number < attempts.size(); number++) {
             if (number != streamingAttempt) {
-                attempts.get(number).leaveUnsent();
+                attempts.get(number).cancelIfUnsent();
             }
         }
     }
 
     /** Stores in the request's record, if it has one, how an attempt that was sent has ended. */
     void recordEnd(int number, Ending ending) {
-        SendRecord record = request.record();
-        if (record == null || !attempts.get(number).wentOut()) {
+        SendRecord record = request.sendRecord();
+        if (record == null || !attempts.get(number).wasDispatched()) {
             return;
         }
-        record.ended(ending.outcome().provesNotRun());
+        record.attemptEnded(ending.outcome().provesNotRun());
         if (ending.outcome() == Outcome.OK && closed) {
             record.servedLate(Answer.served(ending.contentType(), ending.body()));
         }
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -3,13 +3,13 @@
 import io.netty.channel.EventLoop;
 import ivybank.client.ClientServer;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
-import ivybank.handover.Memory;
-import ivybank.handover.MemoryFiles;
-import ivybank.supervision.Chain;
+import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.HandoverSnapshotFiles;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
+import ivybank.supervision.SupervisedTask;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Comparator;
@@ -45,10 +45,10 @@
     private final EventLoop loop;
     private final RequestDispatcher dispatcher;
     private final ClientServer server;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Clock clock;
     private final Log log;
-    private final MemoryFiles files;
+    private final HandoverSnapshotFiles files;
     private final ScheduledExecutorService executor;
     private volatile boolean siblingPresent;
     // Used on the handover thread only.
@@ -61,7 +61,7 @@
             EventLoop loop,
             RequestDispatcher dispatcher,
             ClientServer server,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             Clock clock,
             Log log) {
         this.loop = loop;
@@ -70,7 +70,7 @@
         this.descriptors = descriptors;
         this.clock = clock;
         this.log = log;
-        files = new MemoryFiles(folder, ProcessHandle.current().pid(), log::line);
+        files = new HandoverSnapshotFiles(folder, ProcessHandle.current().pid(), log::line);
         executor = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, "handover");
             thread.setDaemon(true);
@@ -80,18 +80,19 @@
 
     /** Takes over the state that the previous process has left, if any; called before this process serves. */
     void takeOver() {
-        double nowMs = clock.machineMs();
-        Optional<Memory> newest = readOthers().stream().max(Comparator.comparingDouble(Memory::writtenMs));
+        double nowMs = clock.monotonicMs();
+        Optional<HandoverSnapshot> newest =
+                readOthers().stream().max(Comparator.comparingDouble(HandoverSnapshot::writtenMs));
         newest.ifPresent(memory -> {
             log.line("taking over what another process has learned of "
                     + memory.learned().nodes().size() + " nodes, " + Math.round(nowMs - memory.writtenMs())
-                    + " ms ago, believed to " + Math.round(100 * memory.trust(nowMs)) + "%");
-            loop.execute(() -> dispatcher.recall(memory.learned(), memory.trust(nowMs)));
+                    + " ms ago, believed to " + Math.round(100 * memory.confidence(nowMs)) + "%");
+            loop.execute(() -> dispatcher.recall(memory.learned(), memory.confidence(nowMs)));
         });
     }
 
     /** Starts the exchange of files; the first file is written before this returns. */
-    Chain start() {
+    SupervisedTask start() {
         round(); // a file exists before the first connection is accepted
         return PeriodicTask.start("handover", executor, clock, log, WRITE_INTERVAL_MS, this::round);
     }
@@ -110,9 +111,9 @@
         }
     }
 
-    private List<Memory> readOthers() {
+    private List<HandoverSnapshot> readOthers() {
         try {
-            return files.others(clock.machineMs());
+            return files.others(clock.monotonicMs());
         } catch (IOException e) {
             logFailure("the files of other processes cannot be read: " + e);
             return List.of();
@@ -120,15 +121,15 @@
     }
 
     private void reportSiblingLoad() {
-        double nowMs = clock.machineMs();
+        double nowMs = clock.monotonicMs();
         Map<String, Integer> inFlight = new HashMap<>();
         int unanswered = 0;
         int usedDescriptors = siblingPresent ? EXTRA_DESCRIPTORS : 0;
-        for (Memory memory : siblingPresent ? readOthers() : List.<Memory>of()) {
+        for (HandoverSnapshot memory : siblingPresent ? readOthers() : List.<HandoverSnapshot>of()) {
             if (memory.isFresh(nowMs)) {
                 unanswered += memory.inHand();
                 usedDescriptors += memory.descriptors();
-                memory.learned().nodes().forEach((host, node) -> inFlight.merge(host, node.out(), Integer::sum));
+                memory.learned().nodes().forEach((host, node) -> inFlight.merge(host, node.inFlight(), Integer::sum));
             }
         }
         int requests = unanswered;
@@ -136,8 +137,8 @@
         loadReported = siblingPresent;
         EventLoopTasks.execute(loop, () -> {
             dispatcher.siblingLoad(inFlight, requests);
-            server.elsewhere(requests);
-            descriptors.elsewhere(siblingDescriptors);
+            server.setOtherProcessRequests(requests);
+            descriptors.setUsedByOtherProcess(siblingDescriptors);
         });
     }
 
--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -2,7 +2,7 @@
 
 import ivybank.common.Clock;
 import ivybank.discovery.Directory;
-import ivybank.handover.Learned;
+import ivybank.handover.LearnedState;
 import ivybank.policy.Balancer;
 import ivybank.policy.Balancer.ListKind;
 import ivybank.policy.Balancer.Upstream;
@@ -23,7 +23,7 @@
     private final Clock clock;
     private final Set<Integer> recalled = new HashSet<>();
     /** The inherited state until discovery has sent its first full list, then null; null where there is none. */
-    private Learned<String> learned;
+    private LearnedState<String> learned;
 
     private double trust;
 
@@ -39,7 +39,7 @@
      *
      * @param trust the confidence in that state, from 0 to 1
      */
-    void take(Learned<String> other, double trust) {
+    void take(LearnedState<String> other, double trust) {
         recalled.clear();
         learned = other;
         this.trust = trust;
@@ -59,15 +59,16 @@
     private void recall() {
         List<Upstream> changed = new ArrayList<>();
         learned.nodes()
-                .forEach((host, node) -> changed.addAll(directory.recallStart(host, node.startedMs(), clock.nowMs())));
+                .forEach((host, node) -> changed.addAll(directory.restoreStart(host, node.startedMs(), clock.nowMs())));
         if (!changed.isEmpty()) {
             events.deliver(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
         }
-        Learned<String> rest = recalled.isEmpty() ? learned : learned.ofNodes();
-        Learned<Integer> here = rest.withStarts(directory::startHereMs).named(host -> {
-            Integer number = directory.number(host);
-            return number != null && recalled.add(number) ? number : null;
-        });
+        LearnedState<String> rest = recalled.isEmpty() ? learned : learned.nodesOnly();
+        LearnedState<Integer> here = rest.withStarts(directory::startByLocalClockMs)
+                .withKeys(host -> {
+                    Integer number = directory.number(host);
+                    return number != null && recalled.add(number) ? number : null;
+                });
         events.deliver(() -> balancer.recall(here, trust));
     }
 }
--- a/src/main/java/ivybank/daemon/RequestDeadline.java
+++ b/src/main/java/ivybank/daemon/RequestDeadline.java
@@ -38,7 +38,7 @@
     static double atMs(ClientRequest request, double nowMs, EventLoopStallDetector stalls) {
         double minDeadlineMs = nowMs + Math.min(MIN_LEFT_MS, MIN_LEFT_FRACTION * request.budgetMs());
         double byReadTimeMs = request.arrivedMs() + request.budgetMs();
-        double earliestMs = Math.min(request.earliestArrivalMs(), stalls.earliestMs(nowMs));
+        double earliestMs = Math.min(request.earliestArrivalMs(), stalls.earliestArrivalMs(nowMs));
         double byArrivalTimeMs = earliestMs + MAX_LATE_MS + request.budgetMs();
         return Math.min(byReadTimeMs, Math.max(minDeadlineMs, byArrivalTimeMs));
     }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -11,8 +11,8 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.handover.Learned;
-import ivybank.handover.Memory;
+import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.LearnedState;
 import ivybank.invariants.InvariantGuard;
 import ivybank.policy.Balancer;
 import ivybank.policy.Balancer.AttemptEnd;
@@ -141,18 +141,19 @@
      * Takes over what another process of this sidecar has learned, weighted by the confidence in it: for the nodes that
      * are listed now, and for those in the first full list of discovery.
      */
-    void recall(Learned<String> learned, double trust) {
+    void recall(LearnedState<String> learned, double trust) {
         inheritedState.take(learned, trust);
     }
 
     /** Returns the state that this process shares with other processes of its sidecar. */
-    Memory memory(int descriptors) {
-        Learned<String> learned = balancer.learned().named(directory::host);
-        return new Memory(
-                clock.machineMs(),
+    HandoverSnapshot memory(int descriptors) {
+        LearnedState<String> learned = balancer.learned().withKeys(directory::host);
+        return new HandoverSnapshot(
+                clock.monotonicMs(),
                 unanswered,
                 descriptors,
-                learned.withStarts((host, startedMs) -> startedMs <= 0 ? startedMs : directory.statedStartMs(host)));
+                learned.withStarts(
+                        (host, startedMs) -> startedMs <= 0 ? startedMs : directory.startByDiscoveryClockMs(host)));
     }
 
     /**
@@ -170,7 +171,7 @@
             }
         });
         double share = unansweredThere == 0 ? 1 : (unanswered + 1.0) / (unanswered + 1.0 + unansweredThere);
-        events.deliver(() -> balancer.elsewhere(byNumber, share));
+        events.deliver(() -> balancer.setSiblingLoad(byNumber, share));
     }
 
     /** Applies the nodes that operators have put into maintenance, by id, with the time of each. */
@@ -183,7 +184,7 @@
 
     /** Returns whether a node with this id is known. */
     boolean isKnownNode(String node) {
-        return directory.knows(node);
+        return directory.contains(node);
     }
 
     @Override
@@ -201,17 +202,17 @@
     }
 
     @Override
-    public int request(ClientRequest request, Consumer<Answer> client) {
-        boolean arriving = request.arriving();
+    public int handle(ClientRequest request, Consumer<Answer> client) {
+        boolean arriving = request.isIncomplete();
         double deadlineMs =
                 arriving ? Exchange.NO_DEADLINE_YET : RequestDeadline.atMs(request, clock.nowMs(), deadlineStalls);
-        double earliestMs = Math.min(request.earliestArrivalMs(), forwardStalls.earliestMs(clock.nowMs()));
+        double earliestMs = Math.min(request.earliestArrivalMs(), forwardStalls.earliestArrivalMs(clock.nowMs()));
         Exchange exchange = new Exchange(++lastId, request, deadlineMs, earliestMs, client);
         exchanges.put(exchange.id, exchange);
         openIds.add(request.callId());
         unanswered++;
         counters.taken++;
-        tally.taken();
+        tally.requestTaken();
         // The time left counts from when the request was read: the module takes less time than usual as a sign of a
         // retry.
         double leftMs = arriving ? request.budgetMs() : request.arrivedMs() + request.budgetMs() - clock.nowMs();
@@ -223,7 +224,7 @@
                 request.requestClass(),
                 request.tenant(),
                 Math.max(0, leftMs - RequestDeadline.reserveMs(request)),
-                request.repeat(),
+                request.clientRetry(),
                 arriving);
         events.deliver(() -> {
             notifyingRequest = exchange.id;
@@ -237,7 +238,7 @@
     }
 
     @Override
-    public void arrived(int id) {
+    public void bodyCompleted(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.closed && exchange.isArriving()) {
             double budgetMs = exchange.request.budgetMs();
@@ -256,12 +257,12 @@
     }
 
     @Override
-    public boolean isOpen(String callId) {
+    public boolean isInFlight(String callId) {
         return openIds.contains(callId);
     }
 
     @Override
-    public void clientLeft(int id) {
+    public void cancel(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.closed) {
             counters.abandoned++;
@@ -317,7 +318,7 @@
             served();
             double endedMs = clock.nowMs();
             answer(exchange, Answer.served(ending.contentType(), ending.body()));
-            tally.took(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
+            tally.stageCompleted(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
         }
         Node node = exchange.attempts.get(number).node;
         events.deliver(() -> balancer.attemptEnded(
@@ -335,21 +336,21 @@
 
     private void tally(Node node, Outcome outcome) {
         if (outcome == Outcome.REJECTED) {
-            tally.turnedAway(node.host);
+            tally.attemptRejected(node.host);
         } else if (outcome == Outcome.TIMEOUT) {
-            tally.timedOut(node.host);
+            tally.attemptTimedOut(node.host);
         }
     }
 
     private void served() {
         counters.served++;
-        tally.served();
+        tally.requestServed();
     }
 
     @Override
     public void responseStarted(Exchange exchange, int number, double sentMs, Answer answer) {
         if (!exchange.isUnanswered()) {
-            answer.rest().leave();
+            answer.remainingBody().abandon();
             return;
         }
         exchange.streamingAttempt = number;
@@ -367,7 +368,7 @@
 
     private void close(Exchange exchange) {
         exchange.closed = true;
-        tally.answered();
+        tally.requestCompleted();
         exchange.cancelBackstop();
         unanswered--;
         openIds.remove(exchange.request.callId());
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -15,7 +15,7 @@
 import ivybank.client.ClientServer;
 import ivybank.common.BackgroundOutput;
 import ivybank.common.Clock;
-import ivybank.common.Descriptors;
+import ivybank.common.DescriptorBudget;
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.common.NextSelect;
@@ -33,13 +33,13 @@
 import ivybank.operator.OperatorFile.StoreSettings;
 import ivybank.peers.PeerFleet;
 import ivybank.policy.LoadShiftingBalancer;
-import ivybank.promises.PromiseKeeper;
-import ivybank.supervision.Chain;
+import ivybank.promises.PromiseRequestHandler;
 import ivybank.supervision.EventLoopTasks;
 import ivybank.supervision.PeriodicTask;
 import ivybank.supervision.StartRetry;
+import ivybank.supervision.SupervisedTask;
 import ivybank.supervision.Watchdog;
-import ivybank.tally.Second;
+import ivybank.tally.SecondCounts;
 import ivybank.tally.SecondTally;
 import ivybank.toml.InputException;
 import ivybank.upstream.LoadReport;
@@ -103,7 +103,7 @@
     private final EventLoop loop;
     private final Watchdog watchdog;
     private final InvariantGuard guard;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final UpstreamPool pool;
     private final RequestDispatcher dispatcher;
     private final Discovery discovery;
@@ -122,7 +122,7 @@
     private final Promise<Void> discoveryReady;
 
     private boolean followsDiscovery;
-    private volatile PromiseKeeper promises; // null: none are kept, or not yet
+    private volatile PromiseRequestHandler promises; // null: none are kept, or not yet
     private volatile ClientServer server; // null until it is prepared
     private final CountDownLatch drained = new CountDownLatch(1);
     private final ServerSocketChannel inherited; // null: this process listens itself
@@ -174,9 +174,9 @@
         watchdog = new Watchdog(loop, clock, log);
         guard = new InvariantGuard(log::line);
         DescriptorShares shares = DescriptorShares.of(config.sockets());
-        descriptors = new Descriptors(shares.total());
+        descriptors = new DescriptorBudget(shares.total());
         clientLimits = shares.clients();
-        UpstreamPool.Limits limits = UpstreamPool.Limits.usual(
+        UpstreamPool.Limits limits = UpstreamPool.Limits.standard(
                 shares.upstreams(),
                 (int) config.connectTimeoutMs(),
                 Math.min(MAX_UPSTREAM_IDLE_MS, IDLE_LIMIT_FRACTION * config.connectionIdleMs()),
@@ -200,15 +200,15 @@
                 base.clone().channel(DiscoverySocketChannel.class),
                 config.discovery(),
                 file::changedDiscovery,
-                config.known().resumeFrom(config.settings().askForList()),
+                config.known().resumeFrom(config.settings().subscribesToList()),
                 timing,
                 dispatcher::listUpdated,
                 clock,
                 log);
         configReload = new ConfigReload(loop, file, discovery::moveTo, clock, log);
         drain = new DrainSequence(clock, log);
-        beforeSends = EventLoopStallDetector.beforeSends(config.drainGraceMs(), clock.nowMs());
-        ofRequests = EventLoopStallDetector.ofRequests(clock.nowMs());
+        beforeSends = EventLoopStallDetector.forSends(config.drainGraceMs(), clock.nowMs());
+        ofRequests = EventLoopStallDetector.forRequestTimes(clock.nowMs());
     }
 
     /**
@@ -241,7 +241,7 @@
                 ? AdminStartup.registerIfPossible(environment)
                 : null;
         Config config = Config.load(environment);
-        Timing standard = Timing.standard(config.settings().askForList(), config.drainGraceMs());
+        Timing standard = Timing.standard(config.settings().subscribesToList(), config.drainGraceMs());
         // Without the file its classes are not loaded.
         OperatorFile operatorFile = operator == null ? null : OperatorFile.read(Path.of(operator), standard);
         Timing timing = operatorFile == null ? standard : operatorFile.discovery();
@@ -256,7 +256,7 @@
                 timing,
                 operatorFile == null ? null : operatorFile.store(),
                 InheritedListener.listener(environment));
-        sidecar.follow(ProcessAge.mostMs());
+        sidecar.follow(ProcessAge.maxMs());
         sidecar.prepare();
         if (operatorFile != null && operatorFile.peers() != null) {
             sidecar.joinPeers(
@@ -314,7 +314,8 @@
     private void joinPeers(PeerFleet fleet, boolean later) throws IOException {
         successor = later;
         // During an upgrade two processes share one address for a while.
-        Chain ticks = StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
+        SupervisedTask ticks =
+                StartRetry.call("listening for peers", log, e -> false, () -> fleet.open(inherited != null));
         EventLoopTasks.execute(loop, () -> watchdog.watch(ticks));
         peers = fleet;
     }
@@ -327,7 +328,7 @@
     @Override
     public void siblingPresent(boolean present) {
         siblingPresent = present;
-        loop.execute(() -> server.company(present));
+        loop.execute(() -> server.setOtherProcessPresent(present));
         if (peers != null && (!present || !successor)) { // of two processes, the later one represents the sidecar
             loop.execute(() -> peers.hush(present));
         }
@@ -344,18 +345,18 @@
         next.takeOver();
         handover = next;
         next.siblingPresent(siblingPresent);
-        Chain rounds = next.start();
+        SupervisedTask rounds = next.start();
         EventLoopTasks.execute(loop, () -> watchdog.watch(rounds));
     }
 
-    private PromiseKeeper openPromises() throws IOException {
+    private PromiseRequestHandler openPromises() throws IOException {
         try {
-            PromiseKeeper keeper = StartRetry.call(
+            PromiseRequestHandler keeper = StartRetry.call(
                     "opening the store",
                     log,
                     KeptPromises::isPermanent,
                     () -> KeptPromises.open(store, config.name(), config.settings(), loop, clock, log));
-            keeper.driver(dispatcher);
+            keeper.setDispatcher(dispatcher);
             return keeper;
         } catch (IOException e) {
             group.shutdownGracefully();
@@ -408,7 +409,7 @@
         return CompletableFuture.runAsync(
                 () -> {
                     dispatcher.applyMaintenance(state.nodesInMaintenance());
-                    server.standBy(state.standbySinceMs());
+                    server.setStandbySince(state.standbySinceMs());
                 },
                 loop);
     }
@@ -416,8 +417,8 @@
     /** Starts to serve clients. Called on the event loop. */
     private void serve(Promise<Channel> bound) {
         try {
-            server.heeds(guard);
-            server.mind(List.of(beforeSends, ofRequests));
+            server.setGuard(guard);
+            server.setStallDetectors(List.of(beforeSends, ofRequests));
             server.startSweeps(loop).forEach(watchdog::watch);
             listen(bound, 1);
         } catch (RuntimeException e) {
@@ -463,17 +464,17 @@
     }
 
     private void startFollowing(double listAtMs) {
-        pool.countIn(tally);
+        pool.setTally(tally);
         dispatcher.setTally(tally);
-        discovery.countIn(tally);
-        ListLease lease = ListLease.usual(timing.asked(), config.drainGraceMs());
-        lease.beginsAt(listAtMs);
-        discovery.renews(lease);
+        discovery.setTally(tally);
+        ListLease lease = ListLease.standard(timing.asked(), config.drainGraceMs());
+        lease.startAt(listAtMs);
+        discovery.setLease(lease);
         dispatcher.enforce(lease, guard);
         watchdog.watch(discovery);
         watchdog.watch(configReload);
         pool.chains().forEach(watchdog::watch);
-        pool.mind(beforeSends);
+        pool.setStallDetector(beforeSends);
         dispatcher.setStallDetectors(ofRequests, beforeSends);
         watchForStalls(beforeSends);
         watchForStalls(ofRequests);
@@ -484,7 +485,7 @@
         if (timing.asked()) {
             discoveryReady.trySuccess(null);
         } else {
-            discovery.onFirstWord(() -> {
+            discovery.onFirstCallCompleted(() -> {
                 timeline.reached("discovery answered or timed out");
                 discoveryAsked = true;
                 discoveryReady.trySuccess(null);
@@ -508,7 +509,7 @@
         long periodMs = (long) stallDetector.periodMs();
         Runnable check = () -> {
             watchdog.checkIfDue();
-            if (stallDetector.look(clock.nowMs())) {
+            if (stallDetector.check(clock.nowMs())) {
                 settle(stallDetector);
             }
         };
@@ -516,15 +517,15 @@
     }
 
     private void settle(EventLoopStallDetector stallDetector) {
-        NextSelect.then(loop, () -> {
-            if (stallDetector.passed(clock.nowMs())) {
+        NextSelect.runAfter(loop, () -> {
+            if (stallDetector.passCompleted(clock.nowMs())) {
                 settle(stallDetector);
             }
         });
     }
 
     private ChannelFuture listen() {
-        if (!guard.starting(timing.asked() || discoveryAsked).isAllowed()) {
+        if (!guard.checkStart(timing.asked() || discoveryAsked).isAllowed()) {
             throw new IllegalStateException("clients must not be served before discovery was asked");
         }
         return server.listen(
@@ -561,11 +562,11 @@
      */
     private void tally() {
         double nowMs = clock.nowMs();
-        pool.countIdle();
-        Second second = tally.end(nowMs, Math.max(0, nowMs - tallyDueMs));
+        pool.reportIdle();
+        SecondCounts second = tally.endSecond(nowMs, Math.max(0, nowMs - tallyDueMs));
         tallyDueMs = Math.max(tallyDueMs + TALLY_INTERVAL_MS, nowMs);
         if (second != null) {
-            log.line(second.line() + " violations=" + guard.takeViolations() + (peers == null ? "" : peers.tally()));
+            log.line(second.line() + " violations=" + guard.takeNewViolations() + (peers == null ? "" : peers.tally()));
         }
     }
 
@@ -573,13 +574,15 @@
         String counts = dispatcher.counters().report();
         if (counts != null) {
             log.line(counts + "; connections: " + server.connections() + " from clients, " + pool.open()
-                    + " to upstreams, " + pool.opened() + " opened and " + pool.spoilt() + " malformed answers so far; "
-                    + server.evicted()
-                    + " client connections closed as idle and " + server.turnedAway() + " requests refused for lack of"
+                    + " to upstreams, " + pool.opened() + " opened and " + pool.malformedAnswers()
+                    + " malformed answers so far; "
+                    + server.evictedConnections()
+                    + " client connections closed as idle and " + server.refusedRequests()
+                    + " requests refused for lack of"
                     + " descriptors or, while draining, of connections so far");
         }
         if (counts != null && promises != null) {
-            log.line(promises.report());
+            log.line(promises.statusLine());
         }
         if (peers != null) {
             log.line(peers.line());
@@ -622,13 +625,13 @@
             drain.addStep(0, "notifying the peers", peers::draining);
         }
         if (inherited == null) {
-            drain.addStep(0, "keeping client connections open", server::keepConnections);
+            drain.addStep(0, "keeping client connections open", server::retainConnections);
             drain.addStep(drainTimes.stopListeningMs(), "closing the listener", server::stopListening);
             drain.addStep(drainTimes.stopServingMs(), "closing connections after their answers", server::drain);
             drain.completeAfter(drainTimes.stopServingMs(), () -> finished(0));
         } else {
             drain.addStep(0, "closing the listener", server::stopListening);
-            drain.addStep(0, "closing idle connections to upstreams", pool::keepNoneIdle);
+            drain.addStep(0, "closing idle connections to upstreams", pool::disableIdleConnections);
             drain.addStep(0, "closing connections after their answers", server::drain);
             double closeIdleMs = clock.nowMs() + (double) drainTimes.stopServingMs();
             drain.completeAfter(0, () -> finished(closeIdleMs));
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -8,8 +8,8 @@
 import io.netty.handler.codec.http.HttpClientCodec;
 import ivybank.common.Clock;
 import ivybank.common.Log;
-import ivybank.supervision.Chain;
 import ivybank.supervision.OutboundConnection;
+import ivybank.supervision.SupervisedTask;
 import ivybank.tally.Tally;
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -32,7 +32,7 @@
  * <p>It owns the chain of calls: there is always one under way or a pause before the next, each with a time by which it must
  * have ended, and a {@link ivybank.supervision.Watchdog} that begins the next one where it has not.
  */
-public final class Discovery implements Chain, DiscoveryCall.Owner {
+public final class Discovery implements SupervisedTask, DiscoveryCall.Owner {
 
     /** What the chain of calls is doing. */
     private enum State {
@@ -145,12 +145,12 @@
     }
 
     /** From now on tells this of calls and versions. Before the start. */
-    public void countIn(Tally counts) {
+    public void setTally(Tally counts) {
         tally = counts;
     }
 
     /** From now on tells this when the list is confirmed, and when it can't be. Before the start. */
-    public void renews(ListLease listLease) {
+    public void setLease(ListLease listLease) {
         lease = listLease;
     }
 
@@ -158,7 +158,7 @@
      * Tells this once, when the first call has brought a list or has ended without one, at the latest when one that is answered
      * must have done so. Before the start.
      */
-    public void onFirstWord(Runnable listens) {
+    public void onFirstCallCompleted(Runnable listens) {
         firstWord = listens;
         loop.schedule(this::firstWord, (long) timing.returnMs(), TimeUnit.MILLISECONDS);
     }
@@ -173,7 +173,7 @@
         if (state == State.STOPPED) {
             return;
         }
-        tally.called();
+        tally.discoveryCalled();
         DiscoveryCall call =
                 new DiscoveryCall(this, timing, clock, silent, timing.asksForAll(silent) ? -1 : seq, newest);
         current = call;
@@ -308,7 +308,7 @@
         private void ended(boolean here, String why) {
             if (call == current) {
                 lease.ended(clock.nowMs(), here);
-                tally.callFailed("ended");
+                tally.discoveryCallFailed("ended");
                 logEnd(why);
                 lost(why);
             }
@@ -436,7 +436,7 @@
 
     @Override
     public void refused(int status) {
-        tally.callFailed(Integer.toString(status));
+        tally.discoveryCallFailed(Integer.toString(status));
     }
 
     @Override
@@ -492,7 +492,7 @@
     public void take(DiscoveryCall call, HostUpdate update, boolean behind) {
         boolean moved = call.firstSinceMove;
         call.firstSinceMove = false;
-        tally.listed(update.seq());
+        tally.listUpdated(update.seq());
         if (call == current) {
             seq = -1; // until it has been taken over: an update that fails there must come again
         }
--- a/src/main/java/ivybank/operator/OperatorFile.java
+++ b/src/main/java/ivybank/operator/OperatorFile.java
@@ -30,7 +30,7 @@
 
     /** Reads a file with the default settings of the platform. */
     public static OperatorFile read(Path file) throws InputException {
-        return read(file, Timing.standard(false, Timing.USUAL_GRACE_MS));
+        return read(file, Timing.standard(false, Timing.DEFAULT_DRAIN_GRACE_MS));
     }
 
     /**
--- a/src/test/java/ivybank/promises/OnRecordTest.java
+++ b/src/test/java/ivybank/promises/OnRecordTest.java
@@ -9,10 +9,10 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.settings.SettingsText;
+import ivybank.settings.SettingsParser;
 import ivybank.store.Disk;
+import ivybank.store.FileSystemDisk;
 import ivybank.store.Limits;
-import ivybank.store.RealDisk;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -146,22 +146,22 @@
         }
 
         @Override
-        public boolean isOpen(String callId) {
+        public boolean isInFlight(String callId) {
             return false;
         }
 
         @Override
-        public int request(ClientRequest request, Consumer<Answer> client) {
+        public int handle(ClientRequest request, Consumer<Answer> client) {
             requests.add(request);
             clients.add(client);
             return requests.size();
         }
 
         @Override
-        public void arrived(int number) {}
+        public void bodyCompleted(int number) {}
 
         @Override
-        public void clientLeft(int number) {
+        public void cancel(int number) {
             // The test says itself what becomes of it.
         }
     }
@@ -173,7 +173,7 @@
     private final HandDriver driver = new HandDriver();
     private final List<String> told = new ArrayList<>();
     private GatedDisk disk;
-    private PromiseKeeper keeper;
+    private PromiseRequestHandler keeper;
 
     @AfterEach
     void close() throws Exception {
@@ -183,11 +183,11 @@
     }
 
     private void open(boolean letThrough) throws Exception {
-        disk = new GatedDisk(RealDisk.take(dir));
+        disk = new GatedDisk(FileSystemDisk.lock(dir));
         Clock clock = Clock.system();
-        keeper = new PromiseKeeper(
+        keeper = new PromiseRequestHandler(
                 new PromiseSettings("X-Event", 60_000, 20_000, letThrough),
-                SettingsText.parse("""
+                SettingsParser.parse("""
                 lanes.count=1
                 lanes.0.name=submit
                 lanes.0.aimMs=1000
@@ -203,7 +203,7 @@
                 loop,
                 clock,
                 new Log(new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8), clock));
-        keeper.driver(driver);
+        keeper.setDispatcher(driver);
         disk.permits.drainPermits();
         disk.waiting.clear();
     }
@@ -213,7 +213,7 @@
     }
 
     private void ask(String event, double budgetMs) throws Exception {
-        onLoop(() -> keeper.request(
+        onLoop(() -> keeper.handle(
                 new ClientRequest(
                         HttpMethod.POST,
                         "/submit",
@@ -251,10 +251,10 @@
         onLoop(() -> {
             driver.requests
                     .get(request)
-                    .record()
+                    .sendRecord()
                     .record(
                             () -> {
-                                driver.requests.get(request).record().sending();
+                                driver.requests.get(request).sendRecord().attemptStarted();
                                 out.countDown();
                             },
                             () -> driver.clients.get(request).accept(Answer.refused(100)));
--- a/src/test/java/ivybank/tally/SecondTallyTest.java
+++ b/src/test/java/ivybank/tally/SecondTallyTest.java
@@ -13,59 +13,64 @@
 
     @Test
     void aLineSaysWhatHappenedAndIsReadBackAsItWas() {
-        tally.taken();
-        tally.taken();
-        tally.answered();
-        tally.served();
-        tally.called();
-        tally.callFailed("503");
-        tally.listed(41);
-        tally.begun("s-1");
-        tally.held("s-1", 1);
-        tally.sent("s-1", Tally.Age.JUST_BACK);
-        tally.sent("s-2", Tally.Age.of(3000, 15_000));
-        tally.sent("s-2", Tally.Age.of(Double.POSITIVE_INFINITY, 15_000));
-        tally.turnedAway("s-2");
-        tally.timedOut("s-2");
-        tally.notUp("s-3");
-        Second second = tally.end(1_800_000_000_500.0, 7);
+        tally.requestTaken();
+        tally.requestTaken();
+        tally.requestCompleted();
+        tally.requestServed();
+        tally.discoveryCalled();
+        tally.discoveryCallFailed("503");
+        tally.listUpdated(41);
+        tally.connectionStarted("s-1");
+        tally.connectionsHeld("s-1", 1);
+        tally.attemptSent("s-1", Tally.Age.JUST_BACK);
+        tally.attemptSent("s-2", Tally.Age.of(3000, 15_000));
+        tally.attemptSent("s-2", Tally.Age.of(Double.POSITIVE_INFINITY, 15_000));
+        tally.attemptRejected("s-2");
+        tally.attemptTimedOut("s-2");
+        tally.connectionFailed("s-3");
+        SecondCounts second = tally.endSecond(1_800_000_000_500.0, 7);
         assertEquals(
-                new Second.OfNode(1, 1, 0, 0, 1, 0, 0, 0, 0), second.nodes().get("s-1"));
+                new SecondCounts.NodeCounts(1, 1, 0, 0, 1, 0, 0, 0, 0),
+                second.nodes().get("s-1"));
         assertEquals(
-                new Second.OfNode(0, 0, 0, 0, 0, 1, 1, 1, 1), second.nodes().get("s-2"));
-        assertEquals(second, Second.parse(second.line()), second.line());
-        assertEquals(second, Second.parse("13.655 " + second.line()), "behind what a collector of logs puts before it");
+                new SecondCounts.NodeCounts(0, 0, 0, 0, 0, 1, 1, 1, 1),
+                second.nodes().get("s-2"));
+        assertEquals(second, SecondCounts.parse(second.line()), second.line());
+        assertEquals(
+                second,
+                SecondCounts.parse("13.655 " + second.line()),
+                "behind what a collector of logs puts before it");
     }
 
     @Test
     void theTimesOfStagesAreReadBackAndBeginAnew() {
-        tally.taken();
+        tally.requestTaken();
         for (int i = 0; i < 99; i++) {
-            tally.took(Stage.REUSE, 0.05);
+            tally.stageCompleted(Stage.REUSE, 0.05);
         }
-        tally.took(Stage.REUSE, 30);
-        tally.took(Stage.REST, Double.MAX_VALUE);
-        tally.took(Stage.REST, -1);
-        Second second = tally.end(1000, 0);
-        assertEquals(second, Second.parse(second.line()), second.line());
+        tally.stageCompleted(Stage.REUSE, 30);
+        tally.stageCompleted(Stage.REST, Double.MAX_VALUE);
+        tally.stageCompleted(Stage.REST, -1);
+        SecondCounts second = tally.endSecond(1000, 0);
+        assertEquals(second, SecondCounts.parse(second.line()), second.line());
         StageTimes times = new StageTimes();
-        times.add(Second.parse(second.line()).stages());
+        times.add(SecondCounts.parse(second.line()).stages());
         assertEquals(100, times.count(Stage.REUSE));
         assertEquals(0.05, times.percentileMs(Stage.REUSE, 50), 0.005);
         assertEquals(30, times.percentileMs(Stage.REUSE, 100), 3);
         assertEquals(60_000, times.percentileMs(Stage.REST, 100), 6000);
         assertEquals(0, times.percentileMs(Stage.REST, 1));
-        tally.taken();
-        assertTrue(tally.end(2000, 0).stages().isEmpty());
+        tally.requestTaken();
+        assertTrue(tally.endSecond(2000, 0).stages().isEmpty());
     }
 
     @Test
     void aLineHasABoundHoweverManyDifferentTimesThereAre() {
         for (int micros = 0; micros < 1_000_000; micros++) {
-            tally.took(Stage.FIRST_BYTE, micros / 1000.0);
+            tally.stageCompleted(Stage.FIRST_BYTE, micros / 1000.0);
         }
-        tally.taken();
-        Second second = tally.end(1000, 0);
+        tally.requestTaken();
+        SecondCounts second = tally.endSecond(1000, 0);
         assertTrue(second.stages().get(Stage.FIRST_BYTE).size() <= 8 * 20, second.line());
         assertEquals(
                 1_000_000,
@@ -77,61 +82,66 @@
     @Test
     void aLineOfAnEarlierVersionIsReadAndAStageOfALaterOnePassedOver() {
         String before = "tally at=1000 late=0 list=41 taken=2 served=1 not=0 calls=0";
-        assertEquals(2, Second.parse(before).taken());
-        assertTrue(Second.parse(before).stages().isEmpty());
-        assertTrue(Second.parse(before + " stage:of-tomorrow=5*1").stages().isEmpty());
+        assertEquals(2, SecondCounts.parse(before).taken());
+        assertTrue(SecondCounts.parse(before).stages().isEmpty());
+        assertTrue(
+                SecondCounts.parse(before + " stage:of-tomorrow=5*1").stages().isEmpty());
         for (String damaged : new String[] {"5", "5*", "*1", "5*0", "-5*1", "5*1,", "x*1"}) {
             assertThrows(
-                    IllegalArgumentException.class, () -> Second.parse(before + " stage:rest=" + damaged), damaged);
+                    IllegalArgumentException.class,
+                    () -> SecondCounts.parse(before + " stage:rest=" + damaged),
+                    damaged);
         }
     }
 
     @Test
     void whatIsHeldGoesOnAndCountsBeginAnew() {
-        tally.begun("s-1");
-        tally.held("s-1", 1);
-        tally.end(1000, 0);
+        tally.connectionStarted("s-1");
+        tally.connectionsHeld("s-1", 1);
+        tally.endSecond(1000, 0);
         assertEquals(
-                new Second.OfNode(0, 1, 0, 0, 0, 0, 0, 0, 0),
-                tally.end(2000, 0).nodes().get("s-1"));
-        tally.held("s-1", -1);
-        assertNull(tally.end(3000, 0), "nothing left, nothing said");
+                new SecondCounts.NodeCounts(0, 1, 0, 0, 0, 0, 0, 0, 0),
+                tally.endSecond(2000, 0).nodes().get("s-1"));
+        tally.connectionsHeld("s-1", -1);
+        assertNull(tally.endSecond(3000, 0), "nothing left, nothing said");
     }
 
     @Test
     void aLineHasABoundHoweverManyNodesThereAreAndTheSumIsKept() {
         for (int node = 0; node < 5000; node++) {
-            tally.sent("node-" + node, Tally.Age.WARM);
+            tally.attemptSent("node-" + node, Tally.Age.WARM);
         }
-        tally.sent("node-4999", Tally.Age.WARM);
-        Second second = tally.end(1000, 0);
+        tally.attemptSent("node-4999", Tally.Age.WARM);
+        SecondCounts second = tally.endSecond(1000, 0);
         assertEquals(SecondTally.MOST_NODES, second.nodes().size());
         assertEquals(
                 5001,
-                second.nodes().values().stream().mapToInt(Second.OfNode::sent).sum());
+                second.nodes().values().stream()
+                        .mapToInt(SecondCounts.NodeCounts::sent)
+                        .sum());
         assertEquals(2, second.nodes().get("node-4999").sent(), "the busiest have a place of their own");
         for (int node = 0; node < 5000; node++) {
-            tally.sent("other-" + node, Tally.Age.WARM);
-            tally.end(2000 + node, 0);
+            tally.attemptSent("other-" + node, Tally.Age.WARM);
+            tally.endSecond(2000 + node, 0);
         }
-        assertNull(tally.end(9000, 0), "nodes that have gone are not kept");
+        assertNull(tally.endSecond(9000, 0), "nodes that have gone are not kept");
     }
 
     @Test
     void namesFromOutsideCanNotBreakTheLine() {
         String name = "a b=c,d/e\n* " + "x".repeat(500);
-        tally.sent(name, Tally.Age.WARM);
-        Second second = tally.end(1000, 0);
+        tally.attemptSent(name, Tally.Age.WARM);
+        SecondCounts second = tally.endSecond(1000, 0);
         assertEquals(1, second.line().lines().count());
-        assertEquals(second, Second.parse(second.line()));
+        assertEquals(second, SecondCounts.parse(second.line()));
     }
 
     @Test
     void waysToFailThatDiscoveryMakesUpAreBounded() {
         for (int status = 0; status < 900; status++) {
-            tally.callFailed(Integer.toString(status));
+            tally.discoveryCallFailed(Integer.toString(status));
         }
-        Second second = tally.end(1000, 0);
+        SecondCounts second = tally.endSecond(1000, 0);
         assertTrue(second.callsFailed().size() <= 9, second.callsFailed().toString());
         assertEquals(
                 900,
@@ -140,11 +150,11 @@
 
     @Test
     void aLineThatWasCutIsTold() {
-        tally.sent("s-1", Tally.Age.WARM);
-        String line = tally.end(1000, 0).line();
-        assertNull(Second.parse("discovery answers again"));
-        assertThrows(IllegalArgumentException.class, () -> Second.parse(line.substring(0, line.length() - 4)));
-        assertThrows(IllegalArgumentException.class, () -> Second.parse(line.replace("taken=0", "taken=no")));
-        assertThrows(IllegalArgumentException.class, () -> Second.parse("tally at=5"));
+        tally.attemptSent("s-1", Tally.Age.WARM);
+        String line = tally.endSecond(1000, 0).line();
+        assertNull(SecondCounts.parse("discovery answers again"));
+        assertThrows(IllegalArgumentException.class, () -> SecondCounts.parse(line.substring(0, line.length() - 4)));
+        assertThrows(IllegalArgumentException.class, () -> SecondCounts.parse(line.replace("taken=0", "taken=no")));
+        assertThrows(IllegalArgumentException.class, () -> SecondCounts.parse("tally at=5"));
     }
 }
--- a/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
+++ b/src/test/java/ivybank/upstream/UpstreamOutcomesTest.java
@@ -289,7 +289,7 @@
         pool = new UpstreamPool(
                 loop,
                 clock,
-                new UpstreamPool.Limits(10, 250, 10_000, 300, ConnectionReusePolicy.Limits.usual(30, 0)),
+                new UpstreamPool.Limits(10, 250, 10_000, 300, ConnectionReusePolicy.Limits.standard(30, 0)),
                 descriptors,
                 new LoadReport(List.of()),
                 new Bootstrap().channel(UpstreamSocketChannel.class),
@@ -304,10 +304,10 @@
             sent.attempt = new UpstreamAttempt(
                     node(server.address()), request(HttpMethod.GET, new byte[0]), 200, new UpstreamAttempt.Listener() {
                         @Override
-                        public void began(Answer answer) {
-                            answer.rest().take(new BodyPipe.Sink() {
+                        public void answerStarted(Answer answer) {
+                            answer.remainingBody().attach(new BodyPipe.Sink() {
                                 @Override
-                                public void part(ByteBuf part) {
+                                public void write(ByteBuf part) {
                                     part.release();
                                 }
 
