--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -101,11 +101,11 @@
         send(exchange, attempt);
     }
 
-    private UpstreamAttempt.Listener listener(Exchange exchange, Node node, int number, double begunMs) {
+    private UpstreamAttempt.Listener listener(Exchange exchange, Node node, int number, double attemptStartMs) {
         return new UpstreamAttempt.Listener() {
             @Override
             public void answerStarted(Answer answer) {
-                listener.responseStarted(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), answer);
+                listener.responseStarted(exchange, number, exchange.sentMs(attemptStartMs, clock.nowMs()), answer);
             }
 
             @Override
@@ -114,18 +114,18 @@
             }
 
             @Override
-            public Verdict mayBeWritten(double toldMs) {
-                return guard.checkSend(transmission(exchange, node, number, toldMs));
+            public Verdict mayBeWritten(double budgetMs) {
+                return guard.checkSend(transmission(exchange, node, number, budgetMs));
             }
 
             @Override
             public void ended(Ending ending) {
-                listener.attemptEnded(exchange, number, exchange.sentMs(begunMs, clock.nowMs()), ending);
+                listener.attemptEnded(exchange, number, exchange.sentMs(attemptStartMs, clock.nowMs()), ending);
             }
         };
     }
 
-    private Transmission transmission(Exchange exchange, Node node, int number, double toldMs) {
+    private Transmission transmission(Exchange exchange, Node node, int number, double budgetMs) {
         double nowMs = clock.nowMs();
         List<RepeatRisk.OtherAttempt> others = IntStream.range(0, exchange.attempts.size())
                 .filter(each -> each != number)
@@ -135,7 +135,7 @@
                 node.ready,
                 exchange.closed,
                 lease.hasLapsed(nowMs),
-                toldMs,
+                budgetMs,
                 exchange.maxClientLeftMs(nowMs),
                 exchange.minClientLeftMs(nowMs),
                 RepeatRisk.of(
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -83,11 +83,11 @@
         double nowMs = clock.monotonicMs();
         Optional<HandoverSnapshot> newest =
                 readOthers().stream().max(Comparator.comparingDouble(HandoverSnapshot::writtenMs));
-        newest.ifPresent(memory -> {
+        newest.ifPresent(snapshot -> {
             log.line("taking over what another process has learned of "
-                    + memory.learned().nodes().size() + " nodes, " + Math.round(nowMs - memory.writtenMs())
-                    + " ms ago, believed to " + Math.round(100 * memory.confidence(nowMs)) + "%");
-            loop.execute(() -> dispatcher.recall(memory.learned(), memory.confidence(nowMs)));
+                    + snapshot.learned().nodes().size() + " nodes, " + Math.round(nowMs - snapshot.writtenMs())
+                    + " ms ago, believed to " + Math.round(100 * snapshot.confidence(nowMs)) + "%");
+            loop.execute(() -> dispatcher.recall(snapshot.learned(), snapshot.confidence(nowMs)));
         });
     }
 
@@ -107,7 +107,7 @@
             reportSiblingLoad();
         }
         if (siblingPresent || roundCount++ % INTERVALS_PER_WRITE_ALONE == 0) {
-            writeMemory();
+            writeSnapshot();
         }
     }
 
@@ -125,11 +125,11 @@
         Map<String, Integer> inFlight = new HashMap<>();
         int unanswered = 0;
         int usedDescriptors = siblingPresent ? EXTRA_DESCRIPTORS : 0;
-        for (HandoverSnapshot memory : siblingPresent ? readOthers() : List.<HandoverSnapshot>of()) {
-            if (memory.isFresh(nowMs)) {
-                unanswered += memory.inHand();
-                usedDescriptors += memory.descriptors();
-                memory.learned().nodes().forEach((host, node) -> inFlight.merge(host, node.inFlight(), Integer::sum));
+        for (HandoverSnapshot snapshot : siblingPresent ? readOthers() : List.<HandoverSnapshot>of()) {
+            if (snapshot.isFresh(nowMs)) {
+                unanswered += snapshot.inHand();
+                usedDescriptors += snapshot.descriptors();
+                snapshot.learned().nodes().forEach((host, node) -> inFlight.merge(host, node.inFlight(), Integer::sum));
             }
         }
         int requests = unanswered;
@@ -142,9 +142,9 @@
         });
     }
 
-    private void writeMemory() {
+    private void writeSnapshot() {
         try {
-            files.write(CompletableFuture.supplyAsync(() -> dispatcher.memory(descriptors.used()), loop)
+            files.write(CompletableFuture.supplyAsync(() -> dispatcher.snapshot(descriptors.used()), loop)
                     .get(EVENT_LOOP_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             lastFailure = null;
         } catch (InterruptedException e) {
--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -25,7 +25,7 @@
     /** The inherited state until discovery has sent its first full list, then null; null where there is none. */
     private LearnedState<String> learned;
 
-    private double trust;
+    private double confidence;
 
     InheritedState(Directory directory, Balancer balancer, ModuleEvents events, Clock clock) {
         this.directory = directory;
@@ -37,12 +37,12 @@
     /**
      * Takes over the state that another process has learned.
      *
-     * @param trust the confidence in that state, from 0 to 1
+     * @param confidence the confidence in that state, from 0 to 1
      */
-    void take(LearnedState<String> other, double trust) {
+    void take(LearnedState<String> other, double confidence) {
         recalled.clear();
         learned = other;
-        this.trust = trust;
+        this.confidence = confidence;
         recall();
     }
 
@@ -69,6 +69,6 @@
                     Integer number = directory.number(host);
                     return number != null && recalled.add(number) ? number : null;
                 });
-        events.deliver(() -> balancer.recall(here, trust));
+        events.deliver(() -> balancer.recall(here, confidence));
     }
 }
--- a/src/main/java/ivybank/daemon/Peers.java
+++ b/src/main/java/ivybank/daemon/PeerStartup.java
@@ -15,14 +15,13 @@
 import java.util.function.IntConsumer;
 
 /**
- * Creates the connection of a sidecar to its peers. A class of its own, so that a sidecar without peers loads no class
- * of it.
+ * Sets up the fleet of peers of a sidecar. A class of its own, so that a sidecar without peers loads no class of it.
  */
-final class Peers {
+final class PeerStartup {
 
     private static final int MAX_MEMBERS = 16_384;
 
-    private Peers() {}
+    private PeerStartup() {}
 
     /**
      * Creates the fleet of peers with the addresses from the operator file, or else from the configuration; it does not
--- a/src/main/java/ivybank/daemon/KeptPromises.java
+++ b/src/main/java/ivybank/daemon/PromiseStartup.java
@@ -16,9 +16,9 @@
  * Opens the store that promises are kept in. A class of its own, so that a sidecar without promises loads no class of
  * the store.
  */
-final class KeptPromises {
+final class PromiseStartup {
 
-    private KeptPromises() {}
+    private PromiseStartup() {}
 
     /**
      * Returns whether a failure to open a store is permanent: caused by the store itself, whatever the disk does next.
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -141,12 +141,12 @@
      * Takes over what another process of this sidecar has learned, weighted by the confidence in it: for the nodes that
      * are listed now, and for those in the first full list of discovery.
      */
-    void recall(LearnedState<String> learned, double trust) {
-        inheritedState.take(learned, trust);
+    void recall(LearnedState<String> learned, double confidence) {
+        inheritedState.take(learned, confidence);
     }
 
     /** Returns the state that this process shares with other processes of its sidecar. */
-    HandoverSnapshot memory(int descriptors) {
+    HandoverSnapshot snapshot(int descriptors) {
         LearnedState<String> learned = balancer.learned().withKeys(directory::host);
         return new HandoverSnapshot(
                 clock.monotonicMs(),
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -260,7 +260,7 @@
         sidecar.prepare();
         if (operatorFile != null && operatorFile.peers() != null) {
             sidecar.joinPeers(
-                    Peers.of(
+                    PeerStartup.of(
                             operatorFile.peers(),
                             config,
                             environment,
@@ -298,7 +298,7 @@
                 sidecar.drain();
                 output.awaitWritten();
             } else {
-                sidecar.finishAll();
+                sidecar.drainAndWait();
                 output.awaitWritten();
                 Runtime.getRuntime().halt(SIGTERM_EXIT_CODE);
             }
@@ -354,8 +354,8 @@
             PromiseRequestHandler keeper = StartRetry.call(
                     "opening the store",
                     log,
-                    KeptPromises::isPermanent,
-                    () -> KeptPromises.open(store, config.name(), config.settings(), loop, clock, log));
+                    PromiseStartup::isPermanent,
+                    () -> PromiseStartup.open(store, config.name(), config.settings(), loop, clock, log));
             keeper.setDispatcher(dispatcher);
             return keeper;
         } catch (IOException e) {
@@ -597,11 +597,11 @@
      * client reconnects there. Connections that stay idle are closed late, so that no request crosses the close.
      */
     void drain() {
-        finishAll();
+        drainAndWait();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(1, TimeUnit.SECONDS);
     }
 
-    private void finishAll() {
+    private void drainAndWait() {
         EventLoopTasks.execute(loop, this::beginDrain);
         try {
             if (!drained.await(DRAIN_TIMEOUT_S, TimeUnit.SECONDS)) {
@@ -628,13 +628,13 @@
             drain.addStep(0, "keeping client connections open", server::retainConnections);
             drain.addStep(drainTimes.stopListeningMs(), "closing the listener", server::stopListening);
             drain.addStep(drainTimes.stopServingMs(), "closing connections after their answers", server::drain);
-            drain.completeAfter(drainTimes.stopServingMs(), () -> finished(0));
+            drain.completeAfter(drainTimes.stopServingMs(), () -> isDrained(0));
         } else {
-            drain.addStep(0, "closing the listener", server::stopListening);
+            drain.addStep(0, "stopping to accept connections", server::stopListening);
             drain.addStep(0, "closing idle connections to upstreams", pool::disableIdleConnections);
             drain.addStep(0, "closing connections after their answers", server::drain);
             double closeIdleMs = clock.nowMs() + (double) drainTimes.stopServingMs();
-            drain.completeAfter(0, () -> finished(closeIdleMs));
+            drain.completeAfter(0, () -> isDrained(closeIdleMs));
         }
         drain.addStep(drainTimes.failOpenMs(), "refusing new requests", server::refuseAll);
         drain.addStep(drainTimes.failOpenMs(), "failing open requests", dispatcher::failOpen);
@@ -651,7 +651,7 @@
     /**
      * Closes connections without a request from a given time on; returns whether no request is in progress any more.
      */
-    private boolean finished(double closeIdleMs) {
+    private boolean isDrained(double closeIdleMs) {
         if (clock.nowMs() >= closeIdleMs) {
             server.closeIdle(true);
         }
--- a/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
+++ b/src/test/java/ivybank/daemon/SidecarConnectionsTest.java
@@ -51,8 +51,8 @@
         }
     }
 
-    /** Writes the state of another process with this many requests in progress, until it has been read. */
-    private void writeMemory(HandoverSnapshotFiles other, int inProgress) throws Exception {
+    /** Writes snapshots of another process with this many requests in progress, until one has been read. */
+    private void writeSnapshot(HandoverSnapshotFiles other, int inProgress) throws Exception {
         for (int i = 0; i < 5; i++) {
             other.write(new HandoverSnapshot(
                     clock.monotonicMs(), inProgress, 10, new LearnedState<>(1, 0, List.of(), Map.of(), Map.of())));
@@ -111,9 +111,9 @@
         sidecar.handOver(folder);
         HandoverSnapshotFiles other = new HandoverSnapshotFiles(folder, 1, line -> {});
         sidecar.siblingPresent(true);
-        writeMemory(other, 55);
+        writeSnapshot(other, 55);
         assertRefused(2, 10 + 2);
-        writeMemory(other, 50);
+        writeSnapshot(other, 50);
         assertRefused(1, 5 + 1);
         sidecar.siblingPresent(false);
         Thread.sleep(200); // the files are read every 50 ms
