--- a/src/main/java/ivybank/daemon/ConfigFile.java
+++ b/src/main/java/ivybank/daemon/ConfigFile.java
@@ -16,6 +16,9 @@
  */
 final class ConfigFile {
 
+    /**
+     * The time after a change during which an equal stamp is not relied on: a second change may have the same stamp.
+     */
     private static final long SETTLE_TIME_MS = 2000;
 
     private final String path;
