--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Hands the module what another process of this sidecar has learned, node by node as the list names them. */
+/**
+ * Passes the state that another process of this sidecar has learned to the decision module, node by node as the list
+ * names them.
+ */
 final class InheritedState {
 
     private final Directory directory;
@@ -19,10 +22,10 @@
     private final ModuleEvents events;
     private final Clock clock;
     private final Set<Integer> recalled = new HashSet<>();
-    /** Until discovery has told its whole list; null for none. */
+    /** The inherited state until discovery has sent its first full list, then null; null where there is none. */
     private LearnedState<String> learned;
 
-    private double trust;
+    private double confidence;
 
     InheritedState(Directory directory, Balancer balancer, ModuleEvents events, Clock clock) {
         this.directory = directory;
@@ -31,15 +34,21 @@
         this.clock = clock;
     }
 
-    /** Takes over what another process has learned; {@code trust}: how far it is believed, from 0 to 1. */
-    void take(LearnedState<String> other, double trust) {
+    /**
+     * Takes over the state that another process has learned.
+     *
+     * @param confidence the confidence in that state, from 0 to 1
+     */
+    void take(LearnedState<String> other, double confidence) {
         recalled.clear();
         learned = other;
-        this.trust = trust;
+        this.confidence = confidence;
         recall();
     }
 
-    /** The list has changed: nodes that it names now are recalled, and after a whole list nothing more is to come. */
+    /**
+     * Handles a change of the list: recalls the nodes that it names now. After a full list nothing more is recalled.
+     */
     void listed(ListKind kind) {
         if (learned != null) {
             recall();
@@ -52,7 +61,7 @@
         learned.nodes()
                 .forEach((host, node) -> changed.addAll(directory.restoreStart(host, node.startedMs(), clock.nowMs())));
         if (!changed.isEmpty()) {
-            events.tell(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
+            events.deliver(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
         }
         LearnedState<String> rest = recalled.isEmpty() ? learned : learned.nodesOnly();
         LearnedState<Integer> here = rest.withStarts(directory::startByLocalClockMs)
@@ -60,6 +69,6 @@
                     Integer number = directory.number(host);
                     return number != null && recalled.add(number) ? number : null;
                 });
-        events.tell(() -> balancer.recall(here, trust));
+        events.deliver(() -> balancer.recall(here, confidence));
     }
 }
