--- a/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
+++ b/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
@@ -1,25 +1,27 @@
 package ivybank.concurrency;
 
 /**
- * How many attempts may be out at one node at once, and when the next may go: grows with quick answers, shrinks with slow
- * ones. Where another process of the sidecar has attempts out there too, the limit is for both together. Times are in
- * milliseconds.
+ * An adaptive limit on the attempts in flight at one node, and on when the next may be sent. It grows with quick answers and
+ * shrinks with slow ones. If another process of the sidecar has attempts in flight at the node too, the limit applies to both
+ * together. Times are in milliseconds.
  */
 public final class ConcurrencyLimit {
 
-    private static final double CROWDED = 1.3; // quiet latencies that an answer of a crowded node takes
-    private static final double GROW = 0.25; // attempts that a quick answer adds, at most
-    private static final double SHRINK = 0.5; // attempts that a slow answer takes off, at most
-    private static final double KEPT =
-            0.25; // of its least, that a slow node gets from one of many: with all of it a jam never ends
-    private static final double SLOWEST = 0.01; // of the time: a node is never forgotten
+    private static final double MAX_QUIET_RATIO =
+            1.3; // an answer that takes more quiet latencies than this shrinks the limit
+    private static final double MAX_GROWTH = 0.25; // attempts added by one quick answer, at most
+    private static final double MAX_REDUCTION = 0.5; // attempts taken off by one slow answer, at most
+    /** Fraction of its minimum that one of many sidecars keeps at a slow node; with all of it, congestion never clears. */
+    private static final double MIN_PART_FOR_SLOW_NODE = 0.25;
+    /** Minimum mean attempts in flight, so that each node is still sent some. */
+    private static final double MIN_RATE = 0.01;
 
     private double size;
     private double nextSendMs;
     private int inFlight;
     private int elsewhere;
 
-    /** Begins anew with this size. */
+    /** Sets the size, as for a new node. */
     public void reset(double newSize) {
         size = Math.max(0, newSize);
     }
@@ -28,24 +30,25 @@
         return size;
     }
 
-    /** Attempts of this process that are out. */
+    /** Returns the number of attempts of this process that are in flight. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Half of its size less what is out: under 0 where more than half of it is taken. */
-    public double spare() {
+    /** Returns half of the size less the attempts in flight; negative if more than half of the limit is in use. */
+    public double halfHeadroom() {
         return size / 2 - inFlight;
     }
 
     /**
-     * Notes an attempt. A limit under one is a rate: the next goes once one that long would have been out for its part of
-     * the time. Each of a hundred sidecars may otherwise have one attempt at each node at any time, and they jam it.
+     * Records that an attempt was sent. A limit below one is a rate: the next attempt waits so long that, at the typical
+     * latency, the mean number in flight equals the limit. Otherwise each of a hundred sidecars may always have one attempt at
+     * each node, and together they congest it.
      */
     public void sent(double nowMs, double typicalMs) {
         inFlight++;
         if (size < 1) {
-            nextSendMs = Math.max(nextSendMs, nowMs + typicalMs / Math.max(size, SLOWEST));
+            nextSendMs = Math.max(nextSendMs, nowMs + typicalMs / Math.max(size, MIN_RATE));
         }
     }
 
@@ -53,7 +56,7 @@
         inFlight--;
     }
 
-    /** Tells how many attempts another process of the sidecar has out there. */
+    /** Sets how many attempts another process of the sidecar has in flight at the node. */
     public void elsewhere(int attempts) {
         elsewhere = Math.max(0, attempts);
     }
@@ -63,29 +66,32 @@
     }
 
     /**
-     * Takes an answer, or a failure at its time-out, into account.
+     * Adjusts the limit to the latency of an answer, or of a failure, which counts as if it had taken its whole timeout.
      *
-     * @param least this sidecar's part of what a node has room for; where that is one or less, a slow
-     *        node gets a part of it alone: each of many sidecars meets it seldom and learns late that it is slow
+     * @param minSize this sidecar's part of the node's capacity, the lower bound of the limit. If it is one or less, the bound
+     *        is only a fraction of it: each of many sidecars rarely sends to a node and learns late that it is slow
      */
-    public void answered(double nowMs, double latencyMs, double quietMs, double typicalMs, double least) {
-        double change = Math.min(GROW, CROWDED * quietMs / latencyMs - 1);
+    public void answered(double nowMs, double latencyMs, double quietMs, double typicalMs, double minSize) {
+        double change = Math.min(MAX_GROWTH, MAX_QUIET_RATIO * quietMs / latencyMs - 1);
         if (change < 0) {
-            // It was slow with so many out: a limit that was not even reached is no reason to send more than that. A
-            // limit
-            // that had
-            // grown on quick answers otherwise took a dozen slow ones to shrink, and a node of little traffic has no
-            // dozen.
+            // The node was slow with this many attempts in flight, so a larger limit that was not reached does not
+            // count.
+            // Otherwise a limit that had grown on quick answers takes a dozen slow ones to shrink, and a node with
+            // little
+            // traffic does not get a dozen.
             size = Math.min(size, Math.max(1, inFlight + elsewhere + 1));
-            change = Math.max(-SHRINK, change) * Math.min(1, size);
-            size = Math.max(least > 1 ? least : KEPT * least, size + change);
-            nextSendMs = Math.max(nextSendMs, nowMs + typicalMs * Math.max(0, 1 / Math.max(size, SLOWEST) - 1));
+            change = Math.max(-MAX_REDUCTION, change) * Math.min(1, size);
+            size = Math.max(minSize > 1 ? minSize : MIN_PART_FOR_SLOW_NODE * minSize, size + change);
+            nextSendMs = Math.max(nextSendMs, nowMs + typicalMs * Math.max(0, 1 / Math.max(size, MIN_RATE) - 1));
         } else if (inFlight + elsewhere + 1 >= size / 2) {
-            size += change; // one quick answer of a jammed node is no reason to go back to one at any time
+            size += change; // not set to 1 at once: one quick answer does not show that a congested node has recovered
         }
     }
 
-    /** A failure frees its place no sooner than an answer would: else a node that fails at once has the most room of all. */
+    /**
+     * Records a failure and holds its slot for as long as a typical answer would. Otherwise a node that fails at once appears
+     * to have the most free capacity of all.
+     */
     public void failed(double nowMs, double elapsedMs, double typicalMs) {
         double earlyMs = Math.max(0, typicalMs - elapsedMs) / Math.max(1, size);
         double nextMs = Math.min(Math.max(nowMs, nextSendMs) + earlyMs, nowMs + typicalMs);
--- a/src/main/java/ivybank/concurrency/LatencyTracker.java
+++ b/src/main/java/ivybank/concurrency/LatencyTracker.java
@@ -3,11 +3,11 @@
 import ivybank.handover.Learned;
 import ivybank.handover.Trust;
 
-/** The running median of the latencies of like requests, and what it was when the nodes were quiet; in milliseconds. */
+/** Tracks the running median latency of similar requests, and its value while the nodes are quiet; in milliseconds. */
 public class LatencyTracker {
 
     private double typicalMs;
-    private double quietMs; // 0: not known yet
+    private double quietMs; // 0 while unknown
     private int answers;
 
     protected LatencyTracker(double typicalMs) {
@@ -18,44 +18,50 @@
         return typicalMs;
     }
 
-    /** The typical latency, until enough answers are known to tell what is quiet. */
+    /** Returns the latency of quiet nodes, or the typical latency until there are enough answers to know it. */
     public double quietMs() {
         return quietMs > 0 ? quietMs : typicalMs;
     }
 
-    /** Counts an answer with its latency. */
-    public void answered(double latencyMs, double leastStep) {
+    /** Records the latency of an answer. */
+    public void answered(double latencyMs, double minStep) {
         answers++;
-        moveTypical(latencyMs, leastStep);
+        moveTypical(latencyMs, minStep);
     }
 
-    /** Moves the running median by one latency, the less the more answers are known, down to {@code leastStep}. */
-    public void moveTypical(double latencyMs, double leastStep) {
-        // Never a whole step: a first time-out under the typical latency made that zero and every share NaN.
-        double step = Math.max(leastStep, 1.0 / (2 + answers));
+    /** Moves the running median towards one latency, in steps that shrink to {@code minStep} as answers accumulate. */
+    public void moveTypical(double latencyMs, double minStep) {
+        // The step stays below 1: a first timeout below the typical latency would set that to zero and every share to
+        // NaN.
+        double step = Math.max(minStep, 1.0 / (2 + answers));
         typicalMs *= latencyMs > typicalMs ? 1 + step : 1 - step;
     }
 
-    /** Lets a tick pass: from so many answers on the quiet latency follows the typical one. */
-    protected void tick(double leastAnswers, double forget) {
-        if (answers >= leastAnswers) {
-            quietMs = quietMs > 0 ? floor(quietMs, typicalMs, forget) : typicalMs;
+    /** Ends a tick: once there are {@code minAnswers} answers, the quiet latency follows the typical one. */
+    protected void tick(double minAnswers, double decay) {
+        if (answers >= minAnswers) {
+            quietMs = quietMs > 0 ? follow(quietMs, typicalMs, decay) : typicalMs;
         }
     }
 
-    /** A floor that follows lower values by halves (the least of noisy values would sink) and slowly forgets. */
-    static double floor(double floor, double value, double forget) {
-        return value < floor ? (floor + value) / 2 : floor * (1 + forget);
+    /**
+     * Returns the next value of a floor that moves halfway to a lower value (the minimum of noisy values would drift down) and
+     * otherwise rises slowly.
+     */
+    static double follow(double floor, double value, double decay) {
+        return value < floor ? (floor + value) / 2 : floor * (1 + decay);
     }
 
     public Learned.OfClass learned() {
         return new Learned.OfClass(typicalMs, quietMs, answers);
     }
 
-    /** Takes over what another process has learned, as far as it is believed. */
-    public void recall(Learned.OfClass other, double trust) {
-        typicalMs = Trust.blend(typicalMs, other.typicalMs(), trust);
-        quietMs = other.quietMs() * trust >= typicalMs / 2 ? other.quietMs() : 0; // half believed it would only mislead
-        answers = (int) (other.answers() * trust);
+    /** Takes over the statistics of another process, weighted by a confidence between 0 and 1. */
+    public void restore(Learned.OfClass other, double confidence) {
+        typicalMs = Trust.blend(typicalMs, other.typicalMs(), confidence);
+        quietMs = other.quietMs() * confidence >= typicalMs / 2
+                ? other.quietMs()
+                : 0; // a value far below the typical latency would mislead
+        answers = (int) (other.answers() * confidence);
     }
 }
--- a/src/main/java/ivybank/concurrency/Mean.java
+++ b/src/main/java/ivybank/concurrency/Mean.java
@@ -1,28 +1,27 @@
 package ivybank.concurrency;
 
-/** A running mean of samples until it is cleared. */
+/** The mean of the samples since it was last cleared. */
 public final class Mean {
 
     private double sum;
     private int count;
 
-    /** Counts one sample. */
     public void add(double sample) {
         sum += sample;
         count++;
     }
 
-    /** How many samples there are. */
+    /** Returns the number of samples. */
     public int count() {
         return count;
     }
 
-    /** The mean of the samples, 0 without any. */
+    /** Returns the mean of the samples, or 0 if there are none. */
     public double mean() {
         return count == 0 ? 0 : sum / count;
     }
 
-    /** Begins anew. */
+    /** Removes all samples. */
     public void clear() {
         sum = 0;
         count = 0;
--- a/src/main/java/ivybank/concurrency/package-info.java
+++ b/src/main/java/ivybank/concurrency/package-info.java
@@ -1,2 +1,2 @@
-/** How many attempts a node may have at once, and the latencies that decide it; no input, output or clock. */
+/** Adaptive concurrency limits and the latency statistics behind them; does no I/O and reads no clock. */
 package ivybank.concurrency;
--- a/src/main/java/ivybank/policy/Attempt.java
+++ b/src/main/java/ivybank/policy/Attempt.java
@@ -11,11 +11,11 @@
 
     double sentMs;
     final double timeoutMs;
-    private boolean loads;
+    private boolean countsAsLoad;
     /** Null while it is out. */
     Balancer.Outcome outcome;
     /** Whether it has been counted as late or timely. */
-    boolean counted;
+    boolean latenessCounted;
 
     Attempt(Call call, Host host, double sentMs, double timeoutMs) {
         this.call = call;
@@ -27,33 +27,33 @@
     }
 
     /** Notes it as out with its request and its server. */
-    void begin() {
+    void register() {
         call.attempts.add(this);
-        call.out++;
+        call.attemptsInFlight++;
         if (!call.arriving) {
-            load(sentMs);
+            countAsLoad(sentMs);
         }
     }
 
     /** From now on it is its server's load: one whose request is still arriving waits for nothing there. */
-    void load(double nowMs) {
+    void countAsLoad(double nowMs) {
         sentMs = nowMs;
-        loads = true;
+        countsAsLoad = true;
         host.attempts.addLast(this);
-        host.concurrency.sent(nowMs, call.view.typicalMs());
-        host.held++;
+        host.concurrency.sent(nowMs, call.statistics.typicalMs());
+        host.activeRequests++;
     }
 
     void end(Balancer.Outcome ended) {
         outcome = ended;
-        call.out--;
+        call.attemptsInFlight--;
         host.attempts.remove(this);
-        if (loads) {
+        if (countsAsLoad) {
             host.concurrency.ended();
         }
     }
 
-    double age(double nowMs) {
+    double ageMs(double nowMs) {
         return nowMs - sentMs;
     }
 
--- a/src/main/java/ivybank/policy/Balancer.java
+++ b/src/main/java/ivybank/policy/Balancer.java
@@ -75,8 +75,8 @@
         void closeIdle(int upstream);
 
         /** How many sidecars there are, as far as is known, where so many were told. */
-        default int sidecars(int told) {
-            return told;
+        default int sidecars(int configured) {
+            return configured;
         }
 
         /** A line for on-call staff. */
@@ -162,7 +162,7 @@
      * One request; {@code tenant} is meaningless where {@link Settings#tenants} is empty. Of one that is {@code arriving}
      * the last byte is still to come, and no upstream begins it before that.
      */
-    record Request(int id, int requestClass, int tenant, double timeoutMs, boolean repeat, boolean arriving) {
+    record Request(int id, int requestClass, int tenant, double timeoutMs, boolean clientRetry, boolean arriving) {
         public Request {
             require(!Double.isNaN(timeoutMs), "time-out of a request must be a number");
         }
@@ -175,7 +175,7 @@
             int upstream,
             Outcome outcome,
             double elapsedMs,
-            boolean requestDone,
+            boolean requestCompleted,
             double[] report) {
         public AttemptEnd {
             Objects.requireNonNull(outcome, "outcome");
@@ -226,9 +226,9 @@
     }
 
     /** How service is judged: weights of the whole, the worst class and the worst tenant; the price of a probe. */
-    record Goal(double whole, double worstClass, double worstTenant, double probePrice) {
+    record Goal(double whole, double worstClass, double worstTenant, double probeCost) {
         public Goal {
-            require(probePrice >= 0, "price of a probe must not be negative");
+            require(probeCost >= 0, "price of a probe must not be negative");
         }
     }
 
@@ -238,7 +238,7 @@
             List<Tenant> tenants,
             int sidecars,
             boolean subscribesToList,
-            boolean repeatsMarked,
+            boolean clientsMarkRetries,
             double tickMs,
             double overShareWorth,
             List<String> reportFields,
@@ -265,9 +265,9 @@
         }
     }
 
-    private static void require(boolean holds, String what) {
-        if (!holds) {
-            throw new IllegalArgumentException(what);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/src/main/java/ivybank/policy/Call.java
+++ b/src/main/java/ivybank/policy/Call.java
@@ -7,11 +7,11 @@
 final class Call {
 
     final int id;
-    final ClassView view;
+    final ClassStatistics statistics;
     /** The queue in which it waits when all is full. */
     final int queue;
     /** Whether the client has tried before. */
-    final boolean repeat;
+    final boolean clientRetry;
 
     double usefulUntilMs;
     /** Whether its last byte is still to come. */
@@ -19,24 +19,24 @@
 
     final List<Attempt> attempts = new ArrayList<>(2);
     /** The servers asked what they hold, in the order in which they were drawn, and when. */
-    final List<Host> asked = new ArrayList<>(0);
+    final List<Host> probedHosts = new ArrayList<>(0);
 
-    double askedMs;
+    double probedAtMs;
     /** Since when it waits for room; far off until it does. */
     double waitingSinceMs = Double.MAX_VALUE;
 
-    int out;
-    boolean done;
+    int attemptsInFlight;
+    boolean completed;
     /** Whether it had its one chance to go to a cold server. */
-    boolean coldAsked;
+    boolean coldDrawMade;
 
     boolean streaming;
 
-    Call(int id, ClassView view, int queue, boolean repeat, double usefulUntilMs) {
+    Call(int id, ClassStatistics statistics, int queue, boolean clientRetry, double usefulUntilMs) {
         this.id = id;
-        this.view = view;
+        this.statistics = statistics;
         this.queue = queue;
-        this.repeat = repeat;
+        this.clientRetry = clientRetry;
         this.usefulUntilMs = usefulUntilMs;
     }
 
@@ -64,8 +64,8 @@
     }
 
     /** A keyed request that may have run goes only to the group that drops its repeats, within the window. */
-    boolean mayGoTo(Host host, double nowMs) {
-        Balancer.RequestClass spec = view.spec;
+    boolean mayBeSentTo(Host host, double nowMs) {
+        Balancer.RequestClass spec = statistics.spec;
         if (spec.effect() != Balancer.Effect.KEYED) {
             return true;
         }
@@ -86,9 +86,9 @@
 
     /** A refusal says that coming again is harmless. */
     boolean mayBeRefused() {
-        return switch (view.spec.effect()) {
+        return switch (statistics.spec.effect()) {
             case SAFE -> true;
-            case KEYED -> view.spec.group() == Balancer.Group.ALL || provenNotRun();
+            case KEYED -> statistics.spec.group() == Balancer.Group.ALL || provenNotRun();
             case UNSAFE -> provenNotRun();
         };
     }
--- a/src/main/java/ivybank/policy/Host.java
+++ b/src/main/java/ivybank/policy/Host.java
@@ -26,21 +26,21 @@
     /** Whether a probe is out, and how many requests it was last known to hold, with those sent since. */
     boolean probing;
 
-    double held;
+    double activeRequests;
     /** Attempts still out, oldest first, but for started streams. */
     final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
     /** What it may be sent beside its part of the draw while it is cold. */
     final TokenBucket tokens = new TokenBucket();
 
-    double heardMs;
-    int failures;
+    double lastResponseMs;
+    int consecutiveFailures;
     /** Why it is set aside; null while it is not. */
-    String setAside;
+    String setAsideReason;
 
-    double trialAtMs;
-    double trialGapMs;
+    double nextTrialMs;
+    double trialIntervalMs;
     /** Whether staff were told that it is set aside. */
-    boolean announced;
+    boolean setAsideLogged;
 
     Host(Balancer.Upstream listed, double rank) {
         this.rank = rank;
@@ -48,12 +48,12 @@
         this.listed = listed;
     }
 
-    boolean ready() {
+    boolean isReady() {
         return listed.status() == Balancer.Status.READY;
     }
 
     /** The part of its capacity that the contract lets one expect by now. */
-    double warmth(double nowMs, Balancer.Contract contract) {
+    double warmFraction(double nowMs, Balancer.Contract contract) {
         double ageMs = nowMs - listed.startedMs();
         if (listed.startedMs() <= 0 || ageMs >= contract.coldMs()) {
             return 1;
@@ -62,7 +62,7 @@
     }
 
     boolean isCold(double nowMs, Balancer.Contract contract) {
-        return warmth(nowMs, contract) < 1;
+        return warmFraction(nowMs, contract) < 1;
     }
 
     Learned.OfNode learned(boolean member) {
@@ -72,15 +72,15 @@
                 member ? share : 0,
                 concurrency.size(),
                 concurrency.inFlight(),
-                setAside != null);
+                setAsideReason != null);
     }
 
     /** Keeps its place in the random order also over a restart, the rest only within one life. */
-    void recall(Learned.OfNode other, double trust) {
-        rank = other == null ? rank : other.rank();
-        if (other != null && other.share() > 0 && Trust.sameLife(other, listed.startedMs())) {
-            share = Trust.blend(share, other.share(), trust);
-            concurrency.reset(Trust.blend(concurrency.size(), other.window(), trust));
+    void restore(Learned.OfNode learned, double confidence) {
+        rank = learned == null ? rank : learned.rank();
+        if (learned != null && learned.share() > 0 && Trust.sameLife(learned, listed.startedMs())) {
+            share = Trust.blend(share, learned.share(), confidence);
+            concurrency.reset(Trust.blend(concurrency.size(), learned.window(), confidence));
         }
     }
 
--- a/src/main/java/ivybank/policy/HostList.java
+++ b/src/main/java/ivybank/policy/HostList.java
@@ -36,7 +36,7 @@
             }
             known.listed = entry;
         }
-        members.removeIf(host -> !host.ready());
+        members.removeIf(host -> !host.isReady());
         hosts.removeIf(host -> {
             boolean gone = host.listed.status() == Status.GONE;
             if (gone) {
@@ -54,19 +54,20 @@
     /** The upstreams that may be sent to. */
     List<Host> ready() {
         List<Host> ready = new ArrayList<>(hosts);
-        ready.removeIf(host -> !host.ready());
+        ready.removeIf(host -> !host.isReady());
         return ready;
     }
 
     /** The member at this part, from 0 to 1, of the sum of the members' weights; null where all are zero. */
-    Host at(double part) {
-        double point = part * members.stream().mapToDouble(host -> host.weight).sum();
+    Host memberAt(double fraction) {
+        double remaining =
+                fraction * members.stream().mapToDouble(host -> host.weight).sum();
         Host found = null;
         for (Host host : members) {
             if (host.weight > 0) {
                 found = host;
-                point -= host.weight;
-                if (point < 0) {
+                remaining -= host.weight;
+                if (remaining < 0) {
                     break;
                 }
             }
@@ -75,12 +76,12 @@
     }
 
     /** The members with latencies in this tick. */
-    Stream<Host> sampled() {
+    Stream<Host> membersWithSamples() {
         return members.stream().filter(host -> host.latencies.count() > 0);
     }
 
     /** Scales the members' shares to a sum of 1. */
-    void normalise() {
+    void normaliseShares() {
         double total = members.stream().mapToDouble(host -> host.share).sum();
         members.forEach(host -> host.share /= total);
     }
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -17,31 +17,31 @@
 /** Load shifting by latency-equalising shares, behind {@code Balancer.java}: first the ordinary path. */
 public final class LoadShiftingBalancer implements Balancer {
 
-    private static final double STEP = 0.2; // of a share, for a deviation of one mean in a tick: the paper's
-    private static final double TICK_MS = 1000; // many answers fall into it, and moved load shows within it
-    private static final double MOST_DEVIATION = 2; // in means: a factor is never under 1 - 0.2 x 2
-    private static final double HALF_TRUST = 4; // samples at which the mean of a tick counts half
-    private static final double LEAST_SHARE = 0.1; // of the mean share, so that each member is still seen
-    private static final double MEDIAN_STEP = 0.02; // what one answer moves a running median
-    private static final double FIRST_TYPICAL = 4; // of them in an aim, before any answer is known
-    private static final double SMOOTHING = 32; // answers over which a server's latency is smoothed
-    private static final double FORGET = 0.005; // of the quiet latency in a tick: machines change
-    private static final int STREAK = 3; // failures or slow answers in a row that are hardly chance
-    private static final double SILENCE = 6; // typical latencies that tell; half that where several are out
-    private static final double LONGEST_GAP_MS = 4000; // between trials: a fault lasts for seconds
-    private static final double COLD_PART = 0.6; // of the contract's overload factor: bursts fill the rest
-    private static final double EXTRA = 0.25; // further attempts and second copies for each request
-    private static final double EXTRA_SAVED = 20; // of them that may be saved up
-    private static final double REPEAT_WORTH = 0.1; // of a first try: the aim has run since that
-    private static final double FADE = 0.02; // of what was offered and served that is forgotten in a tick
-    private static final double PROBES_WORTH = 0.02; // of a request's worth, for the probes of one attempt
-    private static final double LONGEST_WAIT = 0.3; // of a typical latency: it holds a client's connection
-    private static final double LATE = 0.75; // of the aim: a request that takes longer is about to be lost
-    private static final double TOLERATED = 1 / 3.0; // of the attempts late: the sick servers'
-    private static final double CUT = 0.75; // of what is admitted, in an aim in which all is late
-    private static final double RAISE = 1.15; // of what is admitted, in an aim without that
-    private static final double LEAST_ADMITTED = 0.05; // so that something is heard of the servers
-    private static final double TICKS_IN_AIM = 16; // control ticks within the shortest aim
+    private static final double SHARE_STEP = 0.2; // of a share, for a deviation of one mean in a tick: the paper's
+    private static final double SHARE_INTERVAL_MS = 1000; // many answers fall into it, and moved load shows within it
+    private static final double MAX_DEVIATION = 2; // in means: a factor is never under 1 - 0.2 x 2
+    private static final double HALF_WEIGHT_SAMPLES = 4; // samples at which the mean of a tick counts half
+    private static final double MIN_PART_OF_MEAN_SHARE = 0.1; // of the mean share, so that each member is still seen
+    private static final double MIN_MEDIAN_STEP = 0.02; // what one answer moves a running median
+    private static final double INITIAL_LATENCIES_PER_AIM = 4; // of them in an aim, before any answer is known
+    private static final double SMOOTHING_ANSWERS = 32; // answers over which a server's latency is smoothed
+    private static final double QUIET_LATENCY_DECAY = 0.005; // of the quiet latency in a tick: machines change
+    private static final int SIGNIFICANT_COUNT = 3; // failures or slow answers in a row that are hardly chance
+    private static final double SILENCE_LATENCIES = 6; // typical latencies that tell; half that where several are out
+    private static final double MAX_TRIAL_INTERVAL_MS = 4000; // between trials: a fault lasts for seconds
+    private static final double COLD_LOAD_FACTOR = 0.6; // of the contract's overload factor: bursts fill the rest
+    private static final double RETRY_BUDGET_PER_REQUEST = 0.25; // further attempts and second copies for each request
+    private static final double MAX_RETRY_BUDGET = 20; // of them that may be saved up
+    private static final double CLIENT_RETRY_WORTH = 0.1; // of a first try: the aim has run since that
+    private static final double COUNT_DECAY = 0.02; // of what was offered and served that is forgotten in a tick
+    private static final double MAX_PROBE_COST = 0.02; // of a request's worth, for the probes of one attempt
+    private static final double MAX_WAIT_LATENCIES = 0.3; // of a typical latency: it holds a client's connection
+    private static final double LATE_PART_OF_AIM = 0.75; // of the aim: a request that takes longer is about to be lost
+    private static final double TOLERATED_LATE_FRACTION = 1 / 3.0; // of the attempts late: the sick servers'
+    private static final double ADMISSION_CUT = 0.75; // of what is admitted, in an aim in which all is late
+    private static final double ADMISSION_RAISE = 1.15; // of what is admitted, in an aim without that
+    private static final double MIN_ADMITTED_FRACTION = 0.05; // so that something is heard of the servers
+    private static final double CONTROL_TICKS_PER_AIM = 16; // control ticks within the shortest aim
     private static final int CONTROL_TIMER = 1;
     private static final int SUBSCRIBE_TIMER = 2;
 
@@ -56,53 +56,55 @@
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
-    private final double controlMs;
-    private final List<ClassView> classes = new ArrayList<>();
+    private final double controlIntervalMs;
+    private final List<ClassStatistics> classes = new ArrayList<>();
     private final HostList list = new HostList();
     private final List<Host> members = list.members;
     private final Map<Integer, Call> calls = new HashMap<>();
-    private final RankedQueues<Call> waiting;
-    private final List<Call> asking = new ArrayList<>();
-    private final int heldField;
-    private final int busyField;
-    private final int probes; // for each attempt
+    private final RankedQueues<Call> waitingCalls;
+    private final List<Call> probingCalls = new ArrayList<>();
+    private final int activeField;
+    private final int cpuField;
+    private final int probesPerAttempt; // for each attempt
     private final SubsetSize subset;
-    private boolean controlArmed;
-    private boolean subscribeArmed;
+    private boolean controlTimerSet;
+    private boolean subscribeTimerSet;
     private int subscribeFailures;
-    private double nextShareTickMs;
+    private double nextShareUpdateMs;
     private final ColdNodeRateLimiter coldNodeRates = new ColdNodeRateLimiter();
     private final double[] offered;
-    private final double[] refusedPart; // of each queue, at once
-    private double admit = 1;
-    private double nextAdmissionMs;
-    private double late;
-    private double known; // attempts, late or timely; older ones count less
-    private boolean dense; // enough answers of each member in the last tick
-    private double extra = EXTRA_SAVED / 2;
-    private final Map<Cause, Integer> givenUp = new EnumMap<>(Cause.class); // in this tick
+    private final double[] refusedFraction; // of each queue, at once
+    private double admittedFraction = 1;
+    private double nextAdmissionUpdateMs;
+    private double lateAttempts;
+    private double judgedAttempts; // attempts, late or timely; older ones count less
+    private boolean enoughSamples; // enough answers of each member in the last tick
+    private double retryBudget = MAX_RETRY_BUDGET / 2;
+    private final Map<Cause, Integer> abandonedCalls = new EnumMap<>(Cause.class); // in this tick
 
     public LoadShiftingBalancer(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         subset = new SubsetSize(() -> actions.sidecars(settings.sidecars()));
         this.random = new SplittableRandom(seed);
-        settings.classes().forEach(spec -> classes.add(new ClassView(spec, spec.aimMs() / FIRST_TYPICAL)));
-        waiting = new RankedQueues<>(classes.size());
-        offered = new double[waiting.count()];
-        refusedPart = new double[offered.length];
-        heldField = settings.reportFields().indexOf("active");
-        busyField = settings.reportFields().indexOf("cpu");
-        probes = !settings.limits().probes() || heldField < 0
+        settings.classes()
+                .forEach(spec -> classes.add(new ClassStatistics(spec, spec.aimMs() / INITIAL_LATENCIES_PER_AIM)));
+        waitingCalls = new RankedQueues<>(classes.size());
+        offered = new double[waitingCalls.count()];
+        refusedFraction = new double[offered.length];
+        activeField = settings.reportFields().indexOf("active");
+        cpuField = settings.reportFields().indexOf("cpu");
+        probesPerAttempt = !settings.limits().probes() || activeField < 0
                 ? 0
                 : (int) Math.min(
-                        SubsetSize.USUAL / 2, PROBES_WORTH / settings.goal().probePrice());
-        controlMs = Math.max(settings.tickMs(), settings.shortestAimMs() / TICKS_IN_AIM);
+                        SubsetSize.DEFAULT_SIZE / 2,
+                        MAX_PROBE_COST / settings.goal().probeCost());
+        controlIntervalMs = Math.max(settings.tickMs(), settings.shortestAimMs() / CONTROL_TICKS_PER_AIM);
     }
 
     @Override
     public void start(double nowMs) {
-        nextShareTickMs = nowMs + TICK_MS;
+        nextShareUpdateMs = nowMs + SHARE_INTERVAL_MS;
         if (settings.subscribesToList()) {
             actions.subscribe(true);
         }
@@ -112,30 +114,33 @@
 
     @Override
     public void request(double nowMs, Request request) {
-        ClassView view = classes.get(request.requestClass());
+        ClassStatistics statistics = classes.get(request.requestClass());
         // Where late answers are worth nothing, what comes after the aim earns nothing.
-        double worthMs = view.spec.lateWorth() == 0 ? view.spec.aimMs() : request.timeoutMs();
-        double usefulUntilMs = nowMs + Math.min(request.timeoutMs(), worthMs) - 2 * settings.tickMs();
+        double usefulMs = statistics.spec.lateWorth() == 0 ? statistics.spec.aimMs() : request.timeoutMs();
+        double usefulUntilMs = nowMs + Math.min(request.timeoutMs(), usefulMs) - 2 * settings.tickMs();
         // Where clients do not mark repeats, less patience than others have is the sign of a later try.
-        view.longestTryMs = Math.max(view.longestTryMs, request.timeoutMs());
-        boolean repeat = request.repeat()
-                || !settings.repeatsMarked() && request.timeoutMs() < view.longestTryMs - settings.tickMs();
-        int queue = waiting.queue(request.requestClass(), repeat);
-        Call call = new Call(request.id(), view, queue, repeat, usefulUntilMs);
+        statistics.longestTimeoutMs = Math.max(statistics.longestTimeoutMs, request.timeoutMs());
+        boolean clientRetry = request.clientRetry()
+                || !settings.clientsMarkRetries()
+                        && request.timeoutMs() < statistics.longestTimeoutMs - settings.tickMs();
+        int queue = waitingCalls.queue(request.requestClass(), clientRetry);
+        Call call = new Call(request.id(), statistics, queue, clientRetry, usefulUntilMs);
         call.arriving = request.arriving();
-        view.offered++;
+        statistics.offered++;
         offered[queue]++;
-        subset.asked(nowMs, repeat ? 0 : Math.min(view.quietMs(), view.spec.aimMs() / FIRST_TYPICAL));
+        subset.requestReceived(
+                nowMs,
+                clientRetry ? 0 : Math.min(statistics.quietMs(), statistics.spec.aimMs() / INITIAL_LATENCIES_PER_AIM));
         calls.put(call.id, call);
-        extra = Math.min(EXTRA_SAVED, extra + EXTRA);
-        if (!controlArmed) {
-            actions.timer(controlMs, CONTROL_TIMER);
+        retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRY_BUDGET_PER_REQUEST);
+        if (!controlTimerSet) {
+            actions.timer(controlIntervalMs, CONTROL_TIMER);
         }
-        controlArmed = true;
-        if (random.nextDouble() >= refusedPart[queue]) {
-            place(nowMs, call);
+        controlTimerSet = true;
+        if (random.nextDouble() >= refusedFraction[queue]) {
+            route(nowMs, call);
         } else {
-            giveUp(call, Cause.ADMISSION);
+            abandon(call, Cause.ADMISSION);
         }
     }
 
@@ -145,65 +150,69 @@
         if (call != null && call.arriving) {
             call.arriving = false;
             call.usefulUntilMs = nowMs + timeoutMs;
-            call.attempts.stream().filter(attempt -> attempt.outcome == null).forEach(attempt -> attempt.load(nowMs));
+            call.attempts.stream()
+                    .filter(attempt -> attempt.outcome == null)
+                    .forEach(attempt -> attempt.countAsLoad(nowMs));
         }
     }
 
-    private void place(double nowMs, Call call) {
-        if (call.usefulUntilMs - nowMs <= call.view.typicalMs() / 2) {
-            giveUp(call, Cause.TIME); // to earn, and perhaps to be answered in time after an attempt
-        } else if (probes > 0 && call.asked.isEmpty() && ask(nowMs, call)) {
-            asking.add(call);
-        } else if ((!waiting.isEmpty() || !dispatch(nowMs, call)) && !shed(nowMs, call)) {
+    private void route(double nowMs, Call call) {
+        if (call.usefulUntilMs - nowMs <= call.statistics.typicalMs() / 2) {
+            abandon(call, Cause.TIME); // to earn, and perhaps to be answered in time after an attempt
+        } else if (probesPerAttempt > 0 && call.probedHosts.isEmpty() && probeCandidates(nowMs, call)) {
+            probingCalls.add(call);
+        } else if ((!waitingCalls.isEmpty() || !tryDispatch(nowMs, call)) && !abandonIfHopeless(nowMs, call)) {
             call.waitingSinceMs = nowMs;
-            waiting.add(call.queue, call);
+            waitingCalls.add(call.queue, call);
         }
     }
 
-    private boolean dispatch(double nowMs, Call call) {
+    private boolean tryDispatch(double nowMs, Call call) {
         Host trial = trialHost(nowMs, call);
-        Host host = trial != null ? trial : pick(nowMs, call);
+        Host host = trial != null ? trial : pickHost(nowMs, call);
         if (host == null) {
             return false;
         }
-        double mostMs = trial == null ? Double.MAX_VALUE : SILENCE * call.view.typicalMs();
-        send(nowMs, call, host, Math.min(mostMs, call.usefulUntilMs - nowMs));
+        double maxTimeoutMs = trial == null ? Double.MAX_VALUE : SILENCE_LATENCIES * call.statistics.typicalMs();
+        send(nowMs, call, host, Math.min(maxTimeoutMs, call.usefulUntilMs - nowMs));
         return true;
     }
 
-    private Host pick(double nowMs, Call call) {
+    private Host pickHost(double nowMs, Call call) {
         Host host = coldHost(nowMs, call);
         if (host == null) {
-            weigh(nowMs, call, false);
-            host = call.asked.isEmpty()
-                    ? list.at(random.nextDouble())
-                    : call.asked.stream()
-                            .filter(asked -> asked.weight > 0 && members.contains(asked))
-                            .filter(asked -> asked.held * call.view.quietMs() < call.usefulUntilMs - nowMs)
-                            .min(Comparator.comparingDouble(asked -> asked.held))
+            setWeights(nowMs, call, false);
+            host = call.probedHosts.isEmpty()
+                    ? list.memberAt(random.nextDouble())
+                    : call.probedHosts.stream()
+                            .filter(probed -> probed.weight > 0 && members.contains(probed))
+                            .filter(probed ->
+                                    probed.activeRequests * call.statistics.quietMs() < call.usefulUntilMs - nowMs)
+                            .min(Comparator.comparingDouble(probed -> probed.activeRequests))
                             .orElse(null);
         }
-        subset.offered(host != null);
-        if (host == null && call.asked.isEmpty()) { // what the warm ones have no room for
-            weigh(nowMs, call, true);
-            host = list.at(random.nextDouble());
+        subset.memberOffered(host != null);
+        if (host == null && call.probedHosts.isEmpty()) { // what the warm ones have no room for
+            setWeights(nowMs, call, true);
+            host = list.memberAt(random.nextDouble());
         }
         return host;
     }
 
-    private void weigh(double nowMs, Call call, boolean cold) {
+    private void setWeights(double nowMs, Call call, boolean cold) {
         boolean allTried = members.stream().allMatch(call::tried);
         // Never most of the subset: that many are not all at fault.
         boolean avoid =
-                2 * members.stream().filter(host -> host.setAside != null).count() <= members.size();
+                2 * members.stream().filter(host -> host.setAsideReason != null).count() <= members.size();
         for (Host host : members) {
-            boolean out = avoid && host.setAside != null
+            boolean out = avoid && host.setAsideReason != null
                     || !allTried && call.tried(host)
                     || (cold
-                            ? !host.tokens.has(
-                                    nowMs, coldNodeRates.allowedPerMs(host.listed.kind(), coldPart(nowMs, host, call)))
+                            ? !host.tokens.hasToken(
+                                    nowMs,
+                                    coldNodeRates.allowedPerMs(host.listed.kind(), coldLoadFraction(nowMs, host, call)))
                             : host.isCold(nowMs, settings.contract()))
-                    || !call.mayGoTo(host, nowMs)
+                    || !call.mayBeSentTo(host, nowMs)
                     || host.concurrency.isFull(nowMs);
             host.weight = out ? 0 : host.share;
         }
@@ -213,18 +222,18 @@
     // what a server holds, and costs little: a request draws several members by share, probes them, and goes
     // to the one that holds least, the first drawn of equals. It waits for a control tick at most.
 
-    private boolean ask(double nowMs, Call call) {
-        weigh(nowMs, call, false);
-        for (int i = 0; i < probes; i++) {
-            Host host = list.at(random.nextDouble());
+    private boolean probeCandidates(double nowMs, Call call) {
+        setWeights(nowMs, call, false);
+        for (int i = 0; i < probesPerAttempt; i++) {
+            Host host = list.memberAt(random.nextDouble());
             if (host != null) {
-                call.asked.add(host);
+                call.probedHosts.add(host);
                 host.weight = 0;
                 probe(host);
             }
         }
-        call.askedMs = nowMs;
-        return !call.asked.isEmpty();
+        call.probedAtMs = nowMs;
+        return !call.probedHosts.isEmpty();
     }
 
     private void probe(Host host) {
@@ -239,52 +248,56 @@
         Host host = list.find(upstream);
         if (host != null) {
             host.probing = false;
-            host.held = report.length > heldField ? report[heldField] : Double.MAX_VALUE;
-            note(nowMs, host, outcome == Outcome.OK);
+            host.activeRequests = report.length > activeField ? report[activeField] : Double.MAX_VALUE;
+            recordHealth(nowMs, host, outcome == Outcome.OK);
         }
-        placeAsked(nowMs);
+        routeProbedCalls(nowMs);
     }
 
-    private void placeAsked(double nowMs) {
-        for (Call call : List.copyOf(asking)) {
-            if (nowMs - call.askedMs >= controlMs || call.asked.stream().noneMatch(host -> host.probing)) {
-                asking.remove(call);
-                place(nowMs, call);
+    private void routeProbedCalls(double nowMs) {
+        for (Call call : List.copyOf(probingCalls)) {
+            if (nowMs - call.probedAtMs >= controlIntervalMs
+                    || call.probedHosts.stream().noneMatch(host -> host.probing)) {
+                probingCalls.remove(call);
+                route(nowMs, call);
             }
         }
     }
 
     private void send(double nowMs, Call call, Host host, double timeoutMs) {
-        new Attempt(call, host, nowMs, timeoutMs).begin();
-        call.asked.clear();
+        new Attempt(call, host, nowMs, timeoutMs).register();
+        call.probedHosts.clear();
         host.tokens.take();
         actions.send(call.id, host.id, timeoutMs);
     }
 
     /** The design's step: D <- D (1 + eta F l) for members with samples in this tick, then renormalised. */
-    private void shiftShares(double nowMs) {
+    private void updateShares(double nowMs) {
         for (Host host : members) {
             // A hung server answers nothing: what is out for longer than usual counts by its age.
             host.attempts.stream()
-                    .mapToDouble(attempt -> attempt.age(nowMs) / attempt.call.view.typicalMs())
+                    .mapToDouble(attempt -> attempt.ageMs(nowMs) / attempt.call.statistics.typicalMs())
                     .filter(ratio -> ratio > 1)
                     .forEach(host.latencies::add);
         }
-        dense = list.sampled().mapToDouble(host -> host.latencies.count()).sum() >= STREAK * members.size();
-        double mean = list.sampled()
+        enoughSamples = list.membersWithSamples()
+                        .mapToDouble(host -> host.latencies.count())
+                        .sum()
+                >= SIGNIFICANT_COUNT * members.size();
+        double mean = list.membersWithSamples()
                 .mapToDouble(host -> host.latencies.mean())
                 .average()
                 .orElse(1);
         for (Host host : members) {
             if (host.latencies.count() > 0 && mean > 0) { // else 0 / 0 would make every share NaN
                 double deviation = (host.latencies.mean() - mean) / mean;
-                double trust = host.latencies.count() / (host.latencies.count() + HALF_TRUST);
-                double factor = 1 - STEP * trust * Math.min(MOST_DEVIATION, deviation);
-                host.share = Math.max(host.share * factor, LEAST_SHARE / members.size());
+                double trust = host.latencies.count() / (host.latencies.count() + HALF_WEIGHT_SAMPLES);
+                double factor = 1 - SHARE_STEP * trust * Math.min(MAX_DEVIATION, deviation);
+                host.share = Math.max(host.share * factor, MIN_PART_OF_MEAN_SHARE / members.size());
             }
             host.latencies.clear();
         }
-        list.normalise();
+        list.normaliseShares();
     }
 
     // The lowest random ranks: one that leaves gives way to a random ready server, at the mean share, and a
@@ -292,51 +305,56 @@
     private void fillSubset() {
         List<Host> ready = list.ready();
         ready.sort(Comparator.comparingDouble(host -> host.rank));
-        List<Host> chosen = ready.subList(0, subset.of(ready.size()));
+        List<Host> chosen = ready.subList(0, subset.update(ready.size()));
         members.removeIf(host -> !chosen.contains(host));
-        double meanWeight = chosen.stream()
+        double meanListedWeight = chosen.stream()
                 .mapToDouble(host -> host.listed.weight())
                 .average()
                 .orElse(0);
         double meanShare = members.isEmpty() ? 1 : 1.0 / members.size();
         for (Host host : chosen) {
             if (!members.contains(host)) {
-                host.concurrency.reset(Math.max(1, subset.leastWindow(list.hosts.size())));
-                subset.added(host.id);
+                host.concurrency.reset(Math.max(1, subset.minWindow(list.hosts.size())));
+                subset.memberAdded(host.id);
                 // As the paper starts: in proportion to the listed size.
-                host.share = meanShare * (meanWeight > 0 ? host.listed.weight() / meanWeight : 1);
+                host.share = meanShare * (meanListedWeight > 0 ? host.listed.weight() / meanListedWeight : 1);
                 members.add(host);
             }
         }
-        list.normalise();
+        list.normaliseShares();
     }
 
     private void shareTick(double nowMs) {
-        nextShareTickMs = nowMs + TICK_MS;
-        shiftShares(nowMs);
-        classes.forEach(view -> view.tick(1 - FADE, SMOOTHING, FORGET));
+        nextShareUpdateMs = nowMs + SHARE_INTERVAL_MS;
+        updateShares(nowMs);
+        classes.forEach(statistics -> statistics.tick(1 - COUNT_DECAY, SMOOTHING_ANSWERS, QUIET_LATENCY_DECAY));
         if (subset.tick(
-                members.stream().mapToDouble(host -> host.concurrency.spare()).sum() >= 0, list.hosts.size())) {
+                members.stream()
+                                .mapToDouble(host -> host.concurrency.halfHeadroom())
+                                .sum()
+                        >= 0,
+                list.hosts.size())) {
             fillSubset();
         }
-        tellGivenUp(nowMs);
+        logAbandonedCalls(nowMs);
     }
 
     /** Explains the gaps of a tick: why so many requests were given up, and how much room the members had. */
-    private void tellGivenUp(double nowMs) {
-        if (!givenUp.isEmpty()) {
+    private void logAbandonedCalls(double nowMs) {
+        if (!abandonedCalls.isEmpty()) {
             long full = members.stream()
                     .filter(host -> host.concurrency.isFull(nowMs))
                     .count();
             long cold = members.stream()
                     .filter(host -> host.isCold(nowMs, settings.contract()))
                     .count();
-            long aside = members.stream().filter(host -> host.setAside != null).count();
-            actions.log("given up within " + Math.round(TICK_MS) + " ms: " + givenUp + "; admitting "
-                    + Math.round(100 * admit) + "%; of " + members.size() + " members " + full
+            long aside =
+                    members.stream().filter(host -> host.setAsideReason != null).count();
+            actions.log("given up within " + Math.round(SHARE_INTERVAL_MS) + " ms: " + abandonedCalls + "; admitting "
+                    + Math.round(100 * admittedFraction) + "%; of " + members.size() + " members " + full
                     + " full, " + cold + " cold, " + aside + " set aside");
         }
-        givenUp.clear();
+        abandonedCalls.clear();
     }
 
     // ---- Another process of this sidecar, before this one or beside it: what it has learned, and what it has out.
@@ -346,30 +364,34 @@
         Map<Integer, Learned.OfNode> nodes = new HashMap<>();
         list.hosts.forEach(host -> nodes.put(host.id, host.learned(members.contains(host))));
         return new Learned<>(
-                admit, extra, classes.stream().map(ClassView::learned).toList(), nodes, coldNodeRates.most());
+                admittedFraction,
+                retryBudget,
+                classes.stream().map(ClassStatistics::learned).toList(),
+                nodes,
+                coldNodeRates.maxRates());
     }
 
     @Override
     public void recall(Learned<Integer> other, double trust) {
         if (other.classes().size() == classes.size()) {
-            admit = Trust.blend(admit, other.admitted(), trust);
-            extra = Trust.blend(extra, Math.min(EXTRA_SAVED, other.extra()), trust);
-            classes.forEach(view -> view.recall(other.classes().get(classes.indexOf(view)), trust));
-            coldNodeRates.recall(other.carried(), trust);
+            admittedFraction = Trust.blend(admittedFraction, other.admitted(), trust);
+            retryBudget = Trust.blend(retryBudget, Math.min(MAX_RETRY_BUDGET, other.extra()), trust);
+            classes.forEach(statistics -> statistics.restore(other.classes().get(classes.indexOf(statistics)), trust));
+            coldNodeRates.restore(other.carried(), trust);
         }
         list.hosts.forEach(
-                host -> host.recall(other.nodes().get(host.id), 0)); // the order first: it says who is drawn from
-        subset.recall((int)
+                host -> host.restore(other.nodes().get(host.id), 0)); // the order first: it says who is drawn from
+        subset.restore((int)
                 other.nodes().values().stream().filter(node -> node.share() > 0).count());
         fillSubset();
-        members.forEach(host -> host.recall(other.nodes().get(host.id), trust));
-        list.normalise();
+        members.forEach(host -> host.restore(other.nodes().get(host.id), trust));
+        list.normaliseShares();
     }
 
     @Override
     public void elsewhere(Map<Integer, Integer> out, double part) {
         list.hosts.forEach(host -> host.concurrency.elsewhere(out.getOrDefault(host.id, 0)));
-        coldNodeRates.own(part);
+        coldNodeRates.setShare(part);
     }
 
     // ---- Outcomes: what was learnt, and whether the request gets another attempt.
@@ -382,76 +404,76 @@
             return;
         }
         attempt.end(end.outcome());
-        subset.reported(end.upstream(), !attempt.host.isCold(nowMs, settings.contract()), end.report(), busyField);
+        subset.reportReceived(end.upstream(), !attempt.host.isCold(nowMs, settings.contract()), end.report(), cpuField);
         if (!call.streaming) {
-            learn(nowMs, attempt, end.outcome(), end.elapsedMs());
+            recordOutcome(nowMs, attempt, end.outcome(), end.elapsedMs());
         }
-        if (end.requestDone() || call.done) {
-            finish(call);
-        } else if (call.out == 0 && mayResend(nowMs, call)) {
-            extra -= 1;
-            place(nowMs, call);
-        } else if (call.out == 0) {
-            giveUp(call, Cause.ATTEMPTS);
+        if (end.requestCompleted() || call.completed) {
+            complete(call);
+        } else if (call.attemptsInFlight == 0 && mayResend(nowMs, call)) {
+            retryBudget -= 1;
+            route(nowMs, call);
+        } else if (call.attemptsInFlight == 0) {
+            abandon(call, Cause.ATTEMPTS);
         }
-        waiting.offer(held -> dispatch(nowMs, held));
+        waitingCalls.offer(held -> tryDispatch(nowMs, held));
     }
 
-    private void learn(double nowMs, Attempt attempt, Outcome outcome, double elapsedMs) {
+    private void recordOutcome(double nowMs, Attempt attempt, Outcome outcome, double elapsedMs) {
         Host host = attempt.host;
-        ClassView view = attempt.call.view;
+        ClassStatistics statistics = attempt.call.statistics;
         double latencyMs = elapsedMs;
-        count(attempt, elapsedMs, outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT);
+        countLateness(attempt, elapsedMs, outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT);
         if (outcome == Outcome.OK) {
-            note(nowMs, host, true);
+            recordHealth(nowMs, host, true);
             if (!host.isCold(nowMs, settings.contract())) {
                 coldNodeRates.answered(nowMs, host.id, host.listed.kind());
             }
-            view.served++;
-            view.answered(latencyMs, MEDIAN_STEP);
-        } else if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED && elapsedMs < view.typicalMs()) {
+            statistics.served++;
+            statistics.answered(latencyMs, MIN_MEDIAN_STEP);
+        } else if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED && elapsedMs < statistics.typicalMs()) {
             return;
         } else if (outcome != Outcome.CANCELLED) {
             // A failure counts at its time-out: else an upstream that fails at once would draw load.
             latencyMs = Math.max(elapsedMs, attempt.timeoutMs);
             if (outcome == Outcome.TIMEOUT) {
-                view.moveTypical(latencyMs, MEDIAN_STEP); // else a jammed fleet, all time-outs, looks quiet
+                statistics.moveTypical(latencyMs, MIN_MEDIAN_STEP); // else a jammed fleet, all time-outs, looks quiet
             } else if (outcome != Outcome.CONNECT_FAILED) {
-                host.heardMs = nowMs;
+                host.lastResponseMs = nowMs;
             }
-            note(nowMs, host, false);
+            recordHealth(nowMs, host, false);
         }
-        host.latencies.add(latencyMs / view.typicalMs());
+        host.latencies.add(latencyMs / statistics.typicalMs());
         // Room: guards against queues, and against servers that jam. Acts when a member's concurrency limit is reached.
         host.concurrency.answered(
-                nowMs, latencyMs, view.quietMs(), view.typicalMs(), subset.leastWindow(list.hosts.size()));
+                nowMs, latencyMs, statistics.quietMs(), statistics.typicalMs(), subset.minWindow(list.hosts.size()));
         if (outcome != Outcome.OK) {
-            host.concurrency.failed(nowMs, elapsedMs, view.typicalMs());
+            host.concurrency.failed(nowMs, elapsedMs, statistics.typicalMs());
         }
     }
 
     private boolean mayResend(double nowMs, Call call) {
-        return extra >= 1
+        return retryBudget >= 1
                 && call.attempts.size() < settings.limits().maxAttempts()
-                && call.usefulUntilMs - nowMs >= call.view.typicalMs()
-                && (call.view.spec.effect() != Effect.UNSAFE || call.provenNotRun());
+                && call.usefulUntilMs - nowMs >= call.statistics.typicalMs()
+                && (call.statistics.spec.effect() != Effect.UNSAFE || call.provenNotRun());
     }
 
-    private void giveUp(Call call, Cause cause) {
-        givenUp.merge(cause, 1, Integer::sum);
+    private void abandon(Call call, Cause cause) {
+        abandonedCalls.merge(cause, 1, Integer::sum);
         if (call.mayBeRefused()) {
             actions.refuse(call.id, settings.limits().maxRetryAfterMs());
         } else {
             actions.fail(call.id);
         }
-        finish(call);
+        complete(call);
     }
 
     /** The request is over: what is still out would only cost work, and is remembered until it ends. */
-    private void finish(Call call) {
-        call.done = true;
+    private void complete(Call call) {
+        call.completed = true;
         cancelOthers(call, null);
-        if (call.out == 0) {
+        if (call.attemptsInFlight == 0) {
             calls.remove(call.id);
         }
     }
@@ -469,7 +491,7 @@
         if (started != null && started.outcome == null && !call.streaming) {
             call.streaming = true; // it belongs to the client now: its length says nothing of the server
             started.host.attempts.remove(started);
-            learn(nowMs, started, Outcome.OK, elapsedMs);
+            recordOutcome(nowMs, started, Outcome.OK, elapsedMs);
             cancelOthers(call, started);
         }
     }
@@ -477,10 +499,10 @@
     @Override
     public void clientLeft(double nowMs, int request) {
         Call call = calls.get(request);
-        if (call != null && !call.done) {
-            waiting.remove(call.queue, call);
-            asking.remove(call);
-            finish(call);
+        if (call != null && !call.completed) {
+            waitingCalls.remove(call.queue, call);
+            probingCalls.remove(call);
+            complete(call);
         }
     }
 
@@ -491,23 +513,23 @@
 
     /** The cold member that this request goes to, or null; asked once, before its first attempt. */
     private Host coldHost(double nowMs, Call call) {
-        boolean asked = call.coldAsked || call.repeat || !call.attempts.isEmpty();
-        call.coldAsked = true;
+        boolean asked = call.coldDrawMade || call.clientRetry || !call.attempts.isEmpty();
+        call.coldDrawMade = true;
         if (asked || members.stream().noneMatch(host -> host.isCold(nowMs, settings.contract()))) {
             return null;
         }
         members.forEach(host -> host.weight = host.share);
-        Host host = list.at(random.nextDouble());
-        return random.nextDouble() < coldPart(nowMs, host, call) ? host : null;
+        Host host = list.memberAt(random.nextDouble());
+        return random.nextDouble() < coldLoadFraction(nowMs, host, call) ? host : null;
     }
 
     /** The part of what a warm server takes that a cold one may be sent; 0 where it is warm, or this would be late there. */
-    private double coldPart(double nowMs, Host host, Call call) {
-        double warmth = host.warmth(nowMs, settings.contract());
+    private double coldLoadFraction(double nowMs, Host host, Call call) {
+        double warmFraction = host.warmFraction(nowMs, settings.contract());
         // A request that takes the inverse of the warm part longer must still make its aim.
-        boolean inTime = call.view.quietMs() < warmth * (call.usefulUntilMs - nowMs);
-        return warmth < 1 && inTime && host.setAside == null
-                ? warmth * COLD_PART * settings.contract().overloadFactor()
+        boolean inTime = call.statistics.quietMs() < warmFraction * (call.usefulUntilMs - nowMs);
+        return warmFraction < 1 && inTime && host.setAsideReason == null
+                ? warmFraction * COLD_LOAD_FACTOR * settings.contract().overloadFactor()
                 : 0;
     }
 
@@ -515,11 +537,11 @@
     // (then the newest) go first; what could no longer earn is refused. While more than TOLERATED of attempts
     // are late, a growing part of the least worthy is refused at once.
 
-    private boolean shed(double nowMs, Call call) {
-        boolean hopeless = call.usefulUntilMs - nowMs <= Math.max(controlMs, call.view.typicalMs())
-                || !members.isEmpty() && nowMs - call.waitingSinceMs > LONGEST_WAIT * call.view.typicalMs();
+    private boolean abandonIfHopeless(double nowMs, Call call) {
+        boolean hopeless = call.usefulUntilMs - nowMs <= Math.max(controlIntervalMs, call.statistics.typicalMs())
+                || !members.isEmpty() && nowMs - call.waitingSinceMs > MAX_WAIT_LATENCIES * call.statistics.typicalMs();
         if (hopeless) {
-            giveUp(call, Cause.ROOM);
+            abandon(call, Cause.ROOM);
         }
         return hopeless;
     }
@@ -527,40 +549,42 @@
     /** Ranks the queues by what an answer adds to the goal: to the whole, and to the class served worst. */
     private void rankQueues() {
         double worth = Double.MIN_NORMAL
-                + classes.stream().mapToDouble(ClassView::worthOffered).sum();
-        ClassView worst = classes.stream()
-                .min(Comparator.comparingDouble(ClassView::partServed))
+                + classes.stream().mapToDouble(ClassStatistics::offeredWorth).sum();
+        ClassStatistics worst = classes.stream()
+                .min(Comparator.comparingDouble(ClassStatistics::servedFraction))
                 .get();
         for (int i = 0; i < classes.size(); i++) {
-            ClassView view = classes.get(i);
-            double value = settings.goal().whole() * view.spec.worth() / worth
-                    + (view == worst ? settings.goal().worstClass() / Math.max(view.offered, 1) : 0);
-            waiting.setValue(i, value, REPEAT_WORTH);
-        }
-        waiting.rank();
-        double left = admit * Arrays.stream(offered).sum();
-        for (int queue : waiting.order()) {
-            refusedPart[queue] = offered[queue] > 0 ? Math.max(0, 1 - left / offered[queue]) : 0;
+            ClassStatistics statistics = classes.get(i);
+            double value = settings.goal().whole() * statistics.spec.worth() / worth
+                    + (statistics == worst ? settings.goal().worstClass() / Math.max(statistics.offered, 1) : 0);
+            waitingCalls.setValue(i, value, CLIENT_RETRY_WORTH);
+        }
+        waitingCalls.rank();
+        double left = admittedFraction * Arrays.stream(offered).sum();
+        for (int queue : waitingCalls.order()) {
+            refusedFraction[queue] = offered[queue] > 0 ? Math.max(0, 1 - left / offered[queue]) : 0;
             left = Math.max(0, left - offered[queue]);
         }
     }
 
     private void adjustAdmission() {
-        double excess = (late / (known + 1) - TOLERATED) / (1 - TOLERATED);
-        admit = Math.max(LEAST_ADMITTED, Math.min(1, admit * (excess > 0 ? 1 - CUT * excess : RAISE)));
-        late /= 2;
-        known /= 2;
+        double excess = (lateAttempts / (judgedAttempts + 1) - TOLERATED_LATE_FRACTION) / (1 - TOLERATED_LATE_FRACTION);
+        admittedFraction = Math.max(
+                MIN_ADMITTED_FRACTION,
+                Math.min(1, admittedFraction * (excess > 0 ? 1 - ADMISSION_CUT * excess : ADMISSION_RAISE)));
+        lateAttempts /= 2;
+        judgedAttempts /= 2;
         Arrays.setAll(offered, queue -> offered[queue] * 0.9);
     }
 
     /** Counts an attempt once: as late when it has taken most of the aim, or as timely. */
-    private void count(Attempt attempt, double tookMs, boolean failed) {
-        boolean isLate = failed || tookMs > attempt.call.view.spec.aimMs() * LATE;
-        boolean tells = isLate || attempt.outcome == Outcome.OK;
-        if (tells && !attempt.counted && probes == 0) { // probes see queues themselves
-            attempt.counted = true;
-            late += isLate ? 1 : 0;
-            known++;
+    private void countLateness(Attempt attempt, double elapsedMs, boolean failed) {
+        boolean late = failed || elapsedMs > attempt.call.statistics.spec.aimMs() * LATE_PART_OF_AIM;
+        boolean judged = late || attempt.outcome == Outcome.OK;
+        if (judged && !attempt.latenessCounted && probesPerAttempt == 0) { // probes see queues themselves
+            attempt.latenessCounted = true;
+            lateAttempts += late ? 1 : 0;
+            judgedAttempts++;
         }
     }
 
@@ -568,80 +592,83 @@
     // silence of the attempts out, or on failures in a row; they return by an answer, to ever rarer trials.
 
     private void setAside(double nowMs, Host host, String why) {
-        if (host.setAside == null) {
-            host.setAside = why;
-            host.trialGapMs = probes > 0 || settings.anySafe() ? TICK_MS / 2 : LONGEST_GAP_MS;
-            host.trialAtMs = nowMs + host.trialGapMs;
+        if (host.setAsideReason == null) {
+            host.setAsideReason = why;
+            host.trialIntervalMs =
+                    probesPerAttempt > 0 || settings.anySafe() ? SHARE_INTERVAL_MS / 2 : MAX_TRIAL_INTERVAL_MS;
+            host.nextTrialMs = nowMs + host.trialIntervalMs;
         }
     }
 
-    private void note(double nowMs, Host host, boolean answered) {
-        host.failures = answered ? 0 : host.failures + 1;
-        if (host.failures >= STREAK) {
-            setAside(nowMs, host, "it failed " + host.failures + " times in a row");
+    private void recordHealth(double nowMs, Host host, boolean answered) {
+        host.consecutiveFailures = answered ? 0 : host.consecutiveFailures + 1;
+        if (host.consecutiveFailures >= SIGNIFICANT_COUNT) {
+            setAside(nowMs, host, "it failed " + host.consecutiveFailures + " times in a row");
         } else if (answered) {
-            host.heardMs = nowMs;
-            host.setAside = null;
-            if (host.announced) {
+            host.lastResponseMs = nowMs;
+            host.setAsideReason = null;
+            if (host.setAsideLogged) {
                 actions.log(host + " answers again and is back in the draw");
             }
-            host.announced = false;
+            host.setAsideLogged = false;
         }
     }
 
     /** A trial that is due of a server set aside: by a probe, or by this request if it is safe to repeat. */
     private Host trialHost(double nowMs, Call call) {
-        boolean risk = call.view.spec.effect() == Effect.SAFE && call.attempts.isEmpty() && probes == 0;
+        boolean byRequest =
+                call.statistics.spec.effect() == Effect.SAFE && call.attempts.isEmpty() && probesPerAttempt == 0;
         for (Host host : members) {
-            if (host.setAside == null || nowMs < host.trialAtMs || host.isCold(nowMs, settings.contract())) {
+            if (host.setAsideReason == null || nowMs < host.nextTrialMs || host.isCold(nowMs, settings.contract())) {
                 continue;
             }
-            if (!host.announced) {
-                actions.log(host + " is set aside, " + host.setAside + "; trying it now and then");
+            if (!host.setAsideLogged) {
+                actions.log(host + " is set aside, " + host.setAsideReason + "; trying it now and then");
             }
-            host.announced = true;
-            if (risk || probes > 0) {
-                host.trialGapMs = Math.min(2 * host.trialGapMs, LONGEST_GAP_MS);
-                host.trialAtMs = nowMs + host.trialGapMs;
+            host.setAsideLogged = true;
+            if (byRequest || probesPerAttempt > 0) {
+                host.trialIntervalMs = Math.min(2 * host.trialIntervalMs, MAX_TRIAL_INTERVAL_MS);
+                host.nextTrialMs = nowMs + host.trialIntervalMs;
             }
-            if (risk) {
+            if (byRequest) {
                 return host;
-            } else if (probes > 0) {
+            } else if (probesPerAttempt > 0) {
                 probe(host);
             } else if (!settings.anySafe()) {
-                host.setAside = null; // nothing may try it, and for good it must not stay out
+                host.setAsideReason = null; // nothing may try it, and for good it must not stay out
             }
         }
         return null;
     }
 
-    private void watchSilence(double nowMs) {
+    private void setAsideSilentHosts(double nowMs) {
         for (Host host : members) {
-            host.attempts.forEach(attempt -> count(attempt, attempt.age(nowMs), false));
+            host.attempts.forEach(attempt -> countLateness(attempt, attempt.ageMs(nowMs), false));
             Attempt oldest = host.attempts.peekFirst();
-            double silentMs = oldest == null ? 0 : nowMs - Math.max(host.heardMs, oldest.sentMs);
-            double typicalMs = oldest == null ? 0 : oldest.call.view.typicalMs();
-            double telling = (host.concurrency.inFlight() > 1 ? SILENCE / 2 : SILENCE) * typicalMs;
-            if (silentMs > 1.5 * typicalMs && silentMs * host.concurrency.inFlight() > telling) {
+            double silentMs = oldest == null ? 0 : nowMs - Math.max(host.lastResponseMs, oldest.sentMs);
+            double typicalMs = oldest == null ? 0 : oldest.call.statistics.typicalMs();
+            double thresholdMs =
+                    (host.concurrency.inFlight() > 1 ? SILENCE_LATENCIES / 2 : SILENCE_LATENCIES) * typicalMs;
+            if (silentMs > 1.5 * typicalMs && silentMs * host.concurrency.inFlight() > thresholdMs) {
                 setAside(nowMs, host, "silent for " + Math.round(silentMs) + " ms");
             }
-            if (host.setAside != null && dense && admit == 1 && waiting.isEmpty()) {
-                host.attempts.forEach(attempt -> copy(nowMs, attempt));
+            if (host.setAsideReason != null && enoughSamples && admittedFraction == 1 && waitingCalls.isEmpty()) {
+                host.attempts.forEach(attempt -> sendHedge(nowMs, attempt));
             }
         }
     }
 
     /** A second copy of what is stuck there, as class, budget and room allow. */
-    private void copy(double nowMs, Attempt stuck) {
-        Call call = stuck.call;
-        boolean may = !call.done
-                && call.out == 1
+    private void sendHedge(double nowMs, Attempt stalled) {
+        Call call = stalled.call;
+        boolean allowed = !call.completed
+                && call.attemptsInFlight == 1
                 && settings.limits().secondCopies()
-                && stuck.age(nowMs) > call.view.typicalMs()
+                && stalled.ageMs(nowMs) > call.statistics.typicalMs()
                 && mayResend(nowMs, call);
-        Host other = may ? pick(nowMs, call) : null;
-        if (other != null && other != stuck.host) {
-            extra -= 1;
+        Host other = allowed ? pickHost(nowMs, call) : null;
+        if (other != null && other != stalled.host) {
+            retryBudget -= 1;
             send(nowMs, call, other, call.usefulUntilMs - nowMs);
         }
     }
@@ -649,34 +676,34 @@
     @Override
     public void timer(double nowMs, int token) {
         if (token == SUBSCRIBE_TIMER) {
-            subscribeArmed = false;
+            subscribeTimerSet = false;
             actions.subscribe(true);
         } else if (token == CONTROL_TIMER) {
             try {
-                control(nowMs);
+                controlTick(nowMs);
             } finally { // a tick that fails is followed by the next one all the same
-                controlArmed = !calls.isEmpty();
-                if (controlArmed) {
-                    actions.timer(controlMs, CONTROL_TIMER);
+                controlTimerSet = !calls.isEmpty();
+                if (controlTimerSet) {
+                    actions.timer(controlIntervalMs, CONTROL_TIMER);
                 }
             }
         }
     }
 
-    private void control(double nowMs) {
-        watchSilence(nowMs);
-        placeAsked(nowMs);
+    private void controlTick(double nowMs) {
+        setAsideSilentHosts(nowMs);
+        routeProbedCalls(nowMs);
         if (subset.step(members.size(), list.hosts.size())) {
             fillSubset(); // the design's small subset leaves servers idle while its own members are full
         }
         rankQueues();
-        waiting.offer(held -> dispatch(nowMs, held));
-        waiting.drop(call -> shed(nowMs, call));
-        if (nowMs >= nextAdmissionMs) {
-            nextAdmissionMs = nowMs + settings.shortestAimMs();
+        waitingCalls.offer(held -> tryDispatch(nowMs, held));
+        waitingCalls.removeIf(call -> abandonIfHopeless(nowMs, call));
+        if (nowMs >= nextAdmissionUpdateMs) {
+            nextAdmissionUpdateMs = nowMs + settings.shortestAimMs();
             adjustAdmission();
         }
-        if (nowMs >= nextShareTickMs) {
+        if (nowMs >= nextShareUpdateMs) {
             shareTick(nowMs);
         }
     }
@@ -684,17 +711,17 @@
     @Override
     public void upstreams(double nowMs, ListKind kind, List<Upstream> entries) {
         if (kind == ListKind.FAILED) {
-            if (!subscribeArmed) { // ever later, at random times: many sidecars ask one service
-                double delayMs = TICK_MS / 4 * (1 << Math.min(5, subscribeFailures++));
+            if (!subscribeTimerSet) { // ever later, at random times: many sidecars ask one service
+                double delayMs = SHARE_INTERVAL_MS / 4 * (1 << Math.min(5, subscribeFailures++));
                 delayMs = Math.min(delayMs, settings.contract().askEveryMs() / 4);
                 actions.timer(delayMs * (0.5 + random.nextDouble()), SUBSCRIBE_TIMER);
             }
-            subscribeArmed = true;
+            subscribeTimerSet = true;
         } else {
             subscribeFailures = 0;
             list.apply(kind, entries, random);
             fillSubset();
-            waiting.offer(held -> dispatch(nowMs, held));
+            waitingCalls.offer(held -> tryDispatch(nowMs, held));
         }
     }
 }
--- a/src/main/java/ivybank/queue/RankedQueues.java
+++ b/src/main/java/ivybank/queue/RankedQueues.java
@@ -8,24 +8,24 @@
 import java.util.function.Predicate;
 
 /**
- * Items that wait in numbered queues, two for each class of requests: one for first tries, one for repeats. The queues are
- * ranked by values that the caller sets. Not bounded here: the caller decides how long an item waits.
+ * Numbered queues of waiting items, two for each request class: one for clients' first tries and one for their retries. The
+ * queues are ranked by values that the caller sets. They are not bounded; the caller limits how long an item waits.
  *
- * @param <T> what waits
+ * @param <T> the type of the waiting items
  */
 public final class RankedQueues<T> {
 
-    private static final int REPEAT = 1;
-    private static final int QUEUES_OF_CLASS = 2;
+    private static final int RETRY_QUEUE = 1;
+    private static final int QUEUES_PER_CLASS = 2;
 
     private final List<ArrayDeque<T>> queues = new ArrayList<>();
     private final Integer[] order;
     private final double[] values;
     private int size;
 
-    /** Empty queues for so many classes of requests. */
+    /** Creates empty queues for this number of request classes. */
     public RankedQueues(int classes) {
-        values = new double[classes * QUEUES_OF_CLASS];
+        values = new double[classes * QUEUES_PER_CLASS];
         order = new Integer[values.length];
         for (int i = 0; i < values.length; i++) {
             queues.add(new ArrayDeque<>());
@@ -33,57 +33,57 @@
         }
     }
 
-    /** The numbers of the queues, that of the highest rank first. */
+    /** Returns the numbers of the queues, highest rank first. */
     public List<Integer> order() {
         return List.of(order);
     }
 
-    /** How many queues there are. */
+    /** Returns the number of queues. */
     public int count() {
         return values.length;
     }
 
-    /** Whether nothing waits. */
+    /** Returns whether no item is waiting. */
     public boolean isEmpty() {
         return size == 0;
     }
 
-    /** The number of the queue of first tries, or of repeats, of a class. */
-    public int queue(int requestClass, boolean repeat) {
-        return requestClass * QUEUES_OF_CLASS + (repeat ? REPEAT : 0);
+    /** Returns the number of a class's queue of first tries or of retries. */
+    public int queue(int requestClass, boolean retry) {
+        return requestClass * QUEUES_PER_CLASS + (retry ? RETRY_QUEUE : 0);
     }
 
-    /** Sets what a request of this class is worth, and which part of that is left of a repeat. */
-    public void setValue(int requestClass, double value, double repeatPart) {
-        for (int i = 0; i < QUEUES_OF_CLASS; i++) {
-            values[requestClass * QUEUES_OF_CLASS + i] = value * ((i & REPEAT) == 0 ? 1 : repeatPart);
+    /** Sets the value of a request of this class, and the fraction of it that a retry has. */
+    public void setValue(int requestClass, double value, double retryFraction) {
+        for (int i = 0; i < QUEUES_PER_CLASS; i++) {
+            values[requestClass * QUEUES_PER_CLASS + i] = value * ((i & RETRY_QUEUE) == 0 ? 1 : retryFraction);
         }
     }
 
-    /** Puts the queues of the highest value first; equal ones keep their order. */
+    /** Orders the queues by descending value; equal ones keep their order. */
     public void rank() {
         Arrays.sort(order, Comparator.comparingDouble(queue -> -values[queue]));
     }
 
-    /** Adds an item as the newest of a queue. */
+    /** Appends an item to a queue as its newest. */
     public void add(int queue, T item) {
         queues.get(queue).addLast(item);
         size++;
     }
 
-    /** Removes an item, if it waits in this queue. */
+    /** Removes an item if it is in this queue. */
     public void remove(int queue, T item) {
         if (queues.get(queue).remove(item)) {
             size--;
         }
     }
 
-    /** Offers items by rank, the newest of a queue first, for as long as they are taken. */
-    public void offer(Predicate<T> taken) {
+    /** Offers items by rank, the newest of a queue first, and removes those accepted; stops at the first that is not. */
+    public void offer(Predicate<T> accepts) {
         for (int i = 0; i < order.length && size > 0; i++) {
             ArrayDeque<T> items = queues.get(order[i]);
             while (!items.isEmpty()) {
-                if (!taken.test(items.peekLast())) {
+                if (!accepts.test(items.peekLast())) {
                     return;
                 }
                 items.removeLast();
@@ -92,11 +92,11 @@
         }
     }
 
-    /** Removes the items that are hopeless. */
-    public void drop(Predicate<T> hopeless) {
+    /** Removes the items that match the condition. */
+    public void removeIf(Predicate<T> condition) {
         for (ArrayDeque<T> items : queues) {
             int before = items.size();
-            items.removeIf(hopeless);
+            items.removeIf(condition);
             size -= before - items.size();
         }
     }
--- a/src/main/java/ivybank/queue/package-info.java
+++ b/src/main/java/ivybank/queue/package-info.java
@@ -1,2 +1,2 @@
-/** Queues of waiting items, ranked by values that others give; no input, output or clock. */
+/** Priority queues of waiting items, ranked by values that the caller sets; does no I/O and reads no clock. */
 package ivybank.queue;
--- a/src/main/java/ivybank/settings/SettingsParser.java
+++ b/src/main/java/ivybank/settings/SettingsParser.java
@@ -20,25 +20,25 @@
  */
 public final class SettingsParser {
 
-    private static final double COLD_FROM_UNKNOWN = 0.1;
-    private static final double COLD_MS_UNKNOWN = 30_000;
-    private static final double ASK_EVERY_MS_UNKNOWN = 10_000;
+    private static final double DEFAULT_COLD_FROM = 0.1;
+    private static final double DEFAULT_COLD_MS = 30_000;
+    private static final double DEFAULT_ASK_EVERY_MS = 10_000;
 
     private final Map<String, String> values = new HashMap<>();
 
-    private SettingsParser(String text) {
-        text.lines().forEach(line -> {
-            int split = line.indexOf('=');
-            if (split > 0) {
+    private SettingsParser(String lines) {
+        lines.lines().forEach(line -> {
+            int separator = line.indexOf('=');
+            if (separator > 0) {
                 values.put(
-                        line.substring(0, split).trim(),
-                        line.substring(split + 1).trim());
+                        line.substring(0, separator).trim(),
+                        line.substring(separator + 1).trim());
             }
         });
     }
 
-    public static Settings parse(String text) {
-        return new SettingsParser(text).settings();
+    public static Settings parse(String lines) {
+        return new SettingsParser(lines).settings();
     }
 
     private Settings settings() {
@@ -50,21 +50,21 @@
         for (int i = 0; i < count("tenants.count"); i++) {
             String path = "tenants." + i + ".";
             tenants.add(new Tenant(
-                    word(path + "name", "tenant-" + i), number(path + "portion", 0), number(path + "quotaPerS", 0)));
+                    text(path + "name", "tenant-" + i), number(path + "portion", 0), number(path + "quotaPerS", 0)));
         }
-        String fields = "off".equals(word("report.via", "off")) ? "" : word("report.fields", "");
+        String fields = "off".equals(text("report.via", "off")) ? "" : text("report.fields", "");
         Limits limits = new Limits(
-                whole("limits.maxAttempts", 1, 1),
+                integer("limits.maxAttempts", 1, 1),
                 flag("limits.secondCopies"),
                 flag("limits.cancel"),
                 flag("limits.probing"),
                 flag("limits.retryAfter") ? number("limits.maxRetryAfterMs", 0) : 0);
         Contract contract = new Contract(
-                number("contract.coldFrom", COLD_FROM_UNKNOWN),
-                number("contract.coldMs", COLD_MS_UNKNOWN),
+                number("contract.coldFrom", DEFAULT_COLD_FROM),
+                number("contract.coldMs", DEFAULT_COLD_MS),
                 number("contract.overloadFactor", 1),
                 number("contract.fallMs", 0),
-                number("contract.askEveryMs", ASK_EVERY_MS_UNKNOWN));
+                number("contract.askEveryMs", DEFAULT_ASK_EVERY_MS));
         Goal goal = new Goal(
                 number("scoringMix.whole", 1),
                 number("scoringMix.worstClass", 0),
@@ -73,8 +73,8 @@
         return new Settings(
                 classes,
                 tenants,
-                whole("instances", 1, 1),
-                oneOf("membershipMode", "push", Map.of("ask", true, "push", false)),
+                integer("instances", 1, 1),
+                choice("membershipMode", "push", Map.of("ask", true, "push", false)),
                 flag("clients.marksRetry"),
                 number("tickMs", 0),
                 number("overShareWorth", 1),
@@ -89,13 +89,13 @@
             throw new IllegalArgumentException("setting " + path + "hardLimitMs is missing");
         }
         double deadlineMs = number(path + "hardLimitMs", 0);
-        Effect effect = oneOf(
+        Effect effect = choice(
                 path + "idempotency",
                 "fragile",
                 Map.of("retryable", Effect.SAFE, "dedup", Effect.KEYED, "fragile", Effect.UNSAFE));
-        Group group = oneOf(path + "group", "cell", Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL));
+        Group group = choice(path + "group", "cell", Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL));
         return new RequestClass(
-                word(path + "name", "class"),
+                text(path + "name", "class"),
                 number(path + "aimMs", deadlineMs),
                 deadlineMs,
                 number(path + "worth", 1),
@@ -107,41 +107,41 @@
     }
 
     private int count(String path) {
-        return whole(path, 0, 0);
+        return integer(path, 0, 0);
     }
 
-    private int whole(String path, int otherwise, int least) {
-        double number = number(path, otherwise);
-        if (number != Math.rint(number) || number < least || number > Integer.MAX_VALUE) {
+    private int integer(String path, int defaultValue, int min) {
+        double number = number(path, defaultValue);
+        if (number != Math.rint(number) || number < min || number > Integer.MAX_VALUE) {
             throw new IllegalArgumentException("setting " + path + " is " + values.get(path) + ": a whole number of "
-                    + least + " or more is allowed");
+                    + min + " or more is allowed");
         }
         return (int) number;
     }
 
     private boolean flag(String path) {
-        return oneOf(path, "false", Map.of("true", true, "false", false));
+        return choice(path, "false", Map.of("true", true, "false", false));
     }
 
     /** What a word stands for; one that is not known is no leave to guess. */
-    private <T> T oneOf(String path, String otherwise, Map<String, T> meanings) {
-        String word = word(path, otherwise);
-        T meaning = meanings.get(word);
+    private <T> T choice(String path, String defaultValue, Map<String, T> meanings) {
+        String value = text(path, defaultValue);
+        T meaning = meanings.get(value);
         if (meaning == null) {
-            throw new IllegalArgumentException("setting " + path + " is " + word + ": allowed are "
+            throw new IllegalArgumentException("setting " + path + " is " + value + ": allowed are "
                     + String.join(", ", new TreeSet<>(meanings.keySet())));
         }
         return meaning;
     }
 
-    private String word(String path, String otherwise) {
-        return values.getOrDefault(path, otherwise);
+    private String text(String path, String defaultValue) {
+        return values.getOrDefault(path, defaultValue);
     }
 
-    private double number(String path, double otherwise) {
+    private double number(String path, double defaultValue) {
         String value = values.get(path);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             double number = Double.parseDouble(value);
--- a/src/main/java/ivybank/simhost/Batch.java
+++ b/src/main/java/ivybank/simhost/Batch.java
@@ -17,8 +17,8 @@
     private static final int HEADER_BYTES = 20;
 
     private final InputStream in;
-    private final ByteBuffer header = little(new byte[HEADER_BYTES]);
-    private ByteBuffer body = little(new byte[1 << 16]);
+    private final ByteBuffer header = littleEndian(new byte[HEADER_BYTES]);
+    private ByteBuffer body = littleEndian(new byte[1 << 16]);
 
     Batch(InputStream in) {
         this.in = in;
@@ -26,12 +26,13 @@
 
     /** Reads the next batch; false where the input has ended between batches. */
     boolean next() throws IOException {
-        int got = in.readNBytes(header.array(), 0, HEADER_BYTES);
-        if (got == 0) {
+        int headerBytes = in.readNBytes(header.array(), 0, HEADER_BYTES);
+        if (headerBytes == 0) {
             return false;
         }
-        if (got < HEADER_BYTES) {
-            throw new MalformedFrameException("input ends after " + got + " of " + HEADER_BYTES + " header bytes");
+        if (headerBytes < HEADER_BYTES) {
+            throw new MalformedFrameException(
+                    "input ends after " + headerBytes + " of " + HEADER_BYTES + " header bytes");
         }
         long length = Integer.toUnsignedLong(header.getInt(8)) - (HEADER_BYTES - LENGTH_END);
         if (length < 0 || length > MAX_BYTES) {
@@ -39,13 +40,13 @@
                     "batch " + number() + ": length field " + (length + 8) + " is outside 8 to " + MAX_BYTES);
         }
         if (length > body.capacity()) {
-            body = little(new byte[(int) Math.min(MAX_BYTES, 2 * length)]);
+            body = littleEndian(new byte[(int) Math.min(MAX_BYTES, 2 * length)]);
         }
         body.clear().limit((int) length);
-        int read = in.readNBytes(body.array(), 0, (int) length);
-        if (read < length) {
+        int bytesRead = in.readNBytes(body.array(), 0, (int) length);
+        if (bytesRead < length) {
             throw new MalformedFrameException(
-                    "batch " + number() + ": input ends after " + read + " of " + length + " bytes");
+                    "batch " + number() + ": input ends after " + bytesRead + " of " + length + " bytes");
         }
         return true;
     }
@@ -66,45 +67,45 @@
         return HEADER_BYTES + body.position();
     }
 
-    int left() {
+    int remaining() {
         return body.remaining();
     }
 
     int u8() throws IOException {
-        return need(1).get() & 0xff;
+        return require(1).get() & 0xff;
     }
 
     int u16() throws IOException {
-        return need(2).getShort() & 0xffff;
+        return require(2).getShort() & 0xffff;
     }
 
     int u32() throws IOException {
-        return need(4).getInt();
+        return require(4).getInt();
     }
 
     long u64() throws IOException {
-        return need(8).getLong();
+        return require(8).getLong();
     }
 
     double f32() throws IOException {
-        return need(4).getFloat();
+        return require(4).getFloat();
     }
 
     double f64() throws IOException {
-        return need(8).getDouble();
+        return require(8).getDouble();
     }
 
     /** A count of items of at least {@code itemBytes} each that are still to come in this batch. */
     int count(int itemBytes) throws IOException {
         long count = Integer.toUnsignedLong(u32());
-        if (count * itemBytes > left()) {
+        if (count * itemBytes > remaining()) {
             throw new EOFException();
         }
         return (int) count;
     }
 
     byte[] bytes(int count) throws IOException {
-        need(count);
+        require(count);
         byte[] bytes = new byte[count];
         body.get(bytes);
         return bytes;
@@ -114,14 +115,14 @@
         return new String(bytes(count), StandardCharsets.UTF_8);
     }
 
-    private ByteBuffer need(int count) throws IOException {
+    private ByteBuffer require(int count) throws IOException {
         if (body.remaining() < count) {
             throw new EOFException();
         }
         return body;
     }
 
-    private static ByteBuffer little(byte[] bytes) {
+    private static ByteBuffer littleEndian(byte[] bytes) {
         return ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
 }
--- a/src/main/java/ivybank/simhost/Reply.java
+++ b/src/main/java/ivybank/simhost/Reply.java
@@ -12,16 +12,16 @@
 final class Reply {
 
     private static final int LENGTH_BYTES = 4;
-    private static final int LONGEST_TEXT = 0xffff;
-    private static final int NOBODY = -1;
+    private static final int MAX_TEXT_BYTES = 0xffff;
+    private static final int NO_INSTANCE = -1;
 
-    private ByteBuffer buffer = little(new byte[1 << 16]);
-    private int speaker = NOBODY;
+    private ByteBuffer buffer = littleEndian(new byte[1 << 16]);
+    private int currentInstance = NO_INSTANCE;
 
     void begin(int batchNumber) {
         buffer.clear();
         buffer.putInt(0).putInt(batchNumber);
-        speaker = NOBODY;
+        currentInstance = NO_INSTANCE;
     }
 
     void writeTo(OutputStream out) throws IOException {
@@ -93,28 +93,28 @@
 
     private void text(int instance, int code, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(bytes.length, LONGEST_TEXT);
+        int length = Math.min(bytes.length, MAX_TEXT_BYTES);
         record(instance, code, 2 + length).putShort((short) length).put(bytes, 0, length);
     }
 
     private ByteBuffer record(int instance, int code, int fieldBytes) {
-        if (speaker != instance) {
-            speaker = instance;
-            room(4).putShort((short) 13).putShort((short) instance);
+        if (currentInstance != instance) {
+            currentInstance = instance;
+            ensureCapacity(4).putShort((short) 13).putShort((short) instance);
         }
-        return room(2 + fieldBytes).putShort((short) code);
+        return ensureCapacity(2 + fieldBytes).putShort((short) code);
     }
 
-    private ByteBuffer room(int bytes) {
+    private ByteBuffer ensureCapacity(int bytes) {
         if (buffer.remaining() < bytes) {
             int used = buffer.position();
-            buffer = little(Arrays.copyOf(buffer.array(), 2 * (used + bytes)));
+            buffer = littleEndian(Arrays.copyOf(buffer.array(), 2 * (used + bytes)));
             buffer.position(used);
         }
         return buffer;
     }
 
-    private static ByteBuffer little(byte[] bytes) {
+    private static ByteBuffer littleEndian(byte[] bytes) {
         return ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
 }
--- a/src/main/java/ivybank/simhost/SimHost.java
+++ b/src/main/java/ivybank/simhost/SimHost.java
@@ -30,9 +30,9 @@
         Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
 
-    private static final int BANKS = 16;
+    private static final int LIST_SLOTS = 16;
     private static final int ENTRY_BYTES = 22;
-    private static final int REPEAT_FLAG = 2;
+    private static final int RETRY_FLAG = 2;
     private static final double[] NO_REPORT = {};
     private static final ListKind[] LIST_KINDS = ListKind.values();
     private static final Outcome[] OUTCOMES = Outcome.values();
@@ -43,14 +43,14 @@
     private final OutputStream out;
     private final Reply reply = new Reply();
     private final Map<Integer, Balancer> balancers = new HashMap<>();
-    private final List<List<Upstream>> banks = new ArrayList<>();
+    private final List<List<Upstream>> lists = new ArrayList<>();
 
     SimHost(Factory factory, InputStream in, OutputStream out) {
         this.factory = factory;
         this.batch = new Batch(in);
         this.out = out;
-        for (int i = 0; i < BANKS; i++) {
-            banks.add(List.of());
+        for (int i = 0; i < LIST_SLOTS; i++) {
+            lists.add(List.of());
         }
     }
 
@@ -73,11 +73,11 @@
                     if (code == 12) {
                         instance = batch.u16();
                     } else if (code == 11) {
-                        readBank();
+                        readList();
                     } else if (instance < 0) {
                         throw new MalformedFrameException("an event comes before any instance is named");
                     } else {
-                        event(instance, code);
+                        handleEvent(instance, code);
                     }
                 } catch (EOFException e) {
                     throw malformed(i, start, "the record runs past the end of the batch");
@@ -85,41 +85,41 @@
                     throw malformed(i, start, e.getMessage());
                 }
             }
-            if (batch.left() > 0) {
-                throw malformed(batch.records(), batch.position(), batch.left() + " bytes follow the last record");
+            if (batch.remaining() > 0) {
+                throw malformed(batch.records(), batch.position(), batch.remaining() + " bytes follow the last record");
             }
             reply.writeTo(out);
         }
     }
 
-    private MalformedFrameException malformed(long record, int position, String what) {
+    private MalformedFrameException malformed(long record, int position, String description) {
         return new MalformedFrameException("batch " + Integer.toUnsignedString(batch.number()) + ", record " + record
-                + " at byte " + position + ": " + what);
+                + " at byte " + position + ": " + description);
     }
 
     /** Reads the fields of one event whole, then tells it; a module's exception ends in the panic action. */
-    private void event(int instance, int code) throws IOException {
+    private void handleEvent(int instance, int code) throws IOException {
         double now = batch.nowMs();
         Balancer balancer = balancers.get(instance);
         switch (code) {
             case 1 -> {
                 long seed = batch.u64();
                 String options = batch.text(batch.count(1));
-                guarded(instance, () -> {
+                runGuarded(instance, () -> {
                     Balancer fresh = factory.create(SettingsParser.parse(options), seed, reply.actionsOf(instance));
                     balancers.put(instance, fresh);
                     fresh.start(now);
                 });
             }
             case 2 -> {
-                ListKind kind = pick(LIST_KINDS, batch.u8(), "list kind");
+                ListKind kind = enumConstant(LIST_KINDS, batch.u8(), "list kind");
                 batch.u32();
-                int bank = batch.u8();
-                if (kind != ListKind.FAILED && bank >= BANKS) {
-                    throw new MalformedFrameException("list number " + bank + " is not below " + BANKS);
+                int slot = batch.u8();
+                if (kind != ListKind.FAILED && slot >= LIST_SLOTS) {
+                    throw new MalformedFrameException("list number " + slot + " is not below " + LIST_SLOTS);
                 }
-                List<Upstream> entries = kind == ListKind.FAILED ? List.of() : banks.get(bank);
-                tell(instance, balancer, () -> balancer.upstreams(now, kind, entries));
+                List<Upstream> entries = kind == ListKind.FAILED ? List.of() : lists.get(slot);
+                deliver(instance, balancer, () -> balancer.upstreams(now, kind, entries));
             }
             case 3 -> {
                 int id = batch.u32();
@@ -129,19 +129,19 @@
                 double timeoutMs = batch.f64();
                 int tenant = batch.u32();
                 batch.f64();
-                tell(
+                deliver(
                         instance,
                         balancer,
                         () -> balancer.request(
                                 now,
-                                new Request(id, requestClass, tenant, timeoutMs, (flags & REPEAT_FLAG) != 0, false)));
+                                new Request(id, requestClass, tenant, timeoutMs, (flags & RETRY_FLAG) != 0, false)));
             }
             case 4 -> {
                 int id = batch.u32();
                 batch.u32();
                 int attempt = batch.u8();
                 double elapsedMs = batch.f64();
-                tell(instance, balancer, () -> balancer.streamStarted(now, id, attempt, elapsedMs));
+                deliver(instance, balancer, () -> balancer.streamStarted(now, id, attempt, elapsedMs));
             }
             case 5 -> {
                 int id = batch.u32();
@@ -149,9 +149,9 @@
                 boolean done = batch.u8() != 0;
                 int upstream = batch.u32();
                 int attempt = batch.u8();
-                Outcome outcome = pick(OUTCOMES, batch.u8(), "outcome");
+                Outcome outcome = enumConstant(OUTCOMES, batch.u8(), "outcome");
                 double[] report = report();
-                tell(
+                deliver(
                         instance,
                         balancer,
                         () -> balancer.attemptEnded(
@@ -159,33 +159,33 @@
             }
             case 6 -> {
                 int id = batch.u32();
-                tell(instance, balancer, () -> balancer.clientLeft(now, id));
+                deliver(instance, balancer, () -> balancer.clientLeft(now, id));
             }
             case 7 -> {
                 int token = batch.u32();
-                tell(instance, balancer, () -> balancer.timer(now, token));
+                deliver(instance, balancer, () -> balancer.timer(now, token));
             }
             case 8 -> {
                 int upstream = batch.u32();
-                Outcome outcome = pick(OUTCOMES, batch.u8(), "outcome");
+                Outcome outcome = enumConstant(OUTCOMES, batch.u8(), "outcome");
                 double elapsedMs = batch.f64();
                 double[] report = report();
-                tell(instance, balancer, () -> balancer.probeEnded(now, upstream, outcome, elapsedMs, report));
+                deliver(instance, balancer, () -> balancer.probeEnded(now, upstream, outcome, elapsedMs, report));
             }
             case 9 -> {
                 int sender = batch.u16();
                 byte[] message = batch.bytes(batch.u16());
-                tell(instance, balancer, () -> balancer.peerMessage(now, sender, message));
+                deliver(instance, balancer, () -> balancer.peerMessage(now, sender, message));
             }
             case 10 -> balancers.remove(instance);
             default -> throw new MalformedFrameException("unknown event code " + code);
         }
     }
 
-    private void readBank() throws IOException {
-        int bank = batch.u8();
-        if (bank >= BANKS) {
-            throw new MalformedFrameException("list number " + bank + " is not below " + BANKS);
+    private void readList() throws IOException {
+        int slot = batch.u8();
+        if (slot >= LIST_SLOTS) {
+            throw new MalformedFrameException("list number " + slot + " is not below " + LIST_SLOTS);
         }
         Upstream[] entries = new Upstream[batch.count(ENTRY_BYTES)];
         for (int i = 0; i < entries.length; i++) {
@@ -195,10 +195,10 @@
             int cell = batch.u16();
             int id = batch.u32();
             double weight = batch.f32();
-            Status status = pick(STATUSES, batch.u8(), "status");
+            Status status = enumConstant(STATUSES, batch.u8(), "status");
             entries[i] = new Upstream(id, status, startedMs, zone, kind, cell, Math.max(0, weight));
         }
-        banks.set(bank, List.of(entries));
+        lists.set(slot, List.of(entries));
     }
 
     private double[] report() throws IOException {
@@ -213,21 +213,21 @@
         return report;
     }
 
-    private static <T> T pick(T[] values, int code, String what) throws MalformedFrameException {
+    private static <T> T enumConstant(T[] values, int code, String description) throws MalformedFrameException {
         if (code >= values.length) {
-            throw new MalformedFrameException("unknown " + what + " " + code);
+            throw new MalformedFrameException("unknown " + description + " " + code);
         }
         return values[code];
     }
 
     /** An instance that has not started, has been killed or has failed hears nothing. */
-    private void tell(int instance, Balancer balancer, Runnable event) {
+    private void deliver(int instance, Balancer balancer, Runnable event) {
         if (balancer != null) {
-            guarded(instance, event);
+            runGuarded(instance, event);
         }
     }
 
-    private void guarded(int instance, Runnable event) {
+    private void runGuarded(int instance, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
--- a/src/main/java/ivybank/simhost/package-info.java
+++ b/src/main/java/ivybank/simhost/package-info.java
@@ -1,2 +1,2 @@
-/** The decision module on the simulator's wire. */
+/** Hosts the decision module for the simulator, over its wire protocol. */
 package ivybank.simhost;
--- a/src/main/java/ivybank/slowstart/ColdNodeRateLimiter.java
+++ b/src/main/java/ivybank/slowstart/ColdNodeRateLimiter.java
@@ -4,67 +4,72 @@
 import java.util.Map;
 
 /**
- * Limits the rate at which a node that has just started is sent requests. Its own capacity is not known, so the limit is a
- * part of the highest rate at which warm nodes of its kind were seen to answer this sidecar. All sidecars together then send
- * it no more than its warm part of what they send to a warm node. Times are in milliseconds.
+ * Limits the rate at which requests are sent to a node that has just started. The capacity of such a node is not known, so the
+ * limit is a fraction of the highest rate at which warm nodes of its kind were seen to answer this sidecar. As every sidecar does
+ * so, all together send it no more than its warm fraction of what they send to a warm node. Times are in milliseconds.
  */
 public final class ColdNodeRateLimiter {
 
-    private static final double SPAN_MS = 1000;
-    /** Of the most that was seen, what is kept of it after a span with less: machines and their neighbours change. */
-    private static final double KEPT = 0.998; // each node of a kind takes its part of it off
+    private static final double WINDOW_MS = 1000;
+    /**
+     * Fraction of the highest rate that is kept after a window with a lower one, as machines and their neighbours change. Each
+     * node of a kind applies it once per window.
+     */
+    private static final double RETAINED_FRACTION = 0.998;
 
-    private static final double FORGOTTEN_MS = 10_000;
+    private static final double COUNT_EXPIRY_MS = 10_000;
 
-    private static final class Count {
+    private static final class AnswerCount {
         double sinceMs;
         int answers;
     }
 
-    private final Map<Integer, Count> counts = new HashMap<>();
-    private final Map<Integer, Double> mostPerMs = new HashMap<>();
-    private double own = 1;
+    private final Map<Integer, AnswerCount> counts = new HashMap<>();
+    private final Map<Integer, Double> maxPerMs = new HashMap<>();
+    private double share = 1;
 
-    /** Notes an answer of a warm node, whose kind that is. */
+    /** Records an answer of a warm node of this kind. */
     public void answered(double nowMs, int node, int kind) {
-        Count count = counts.get(node);
+        AnswerCount count = counts.get(node);
         if (count == null) {
-            counts.values().removeIf(old -> nowMs - old.sinceMs > FORGOTTEN_MS); // nodes come and go
-            count = new Count();
+            counts.values()
+                    .removeIf(old -> nowMs - old.sinceMs > COUNT_EXPIRY_MS); // nodes that have left would accumulate
+            count = new AnswerCount();
             count.sinceMs = nowMs;
             counts.put(node, count);
         }
         count.answers++;
-        if (nowMs - count.sinceMs >= SPAN_MS) {
+        if (nowMs - count.sinceMs >= WINDOW_MS) {
             double perMs = count.answers / (nowMs - count.sinceMs);
-            mostPerMs.merge(kind, perMs, (most, now) -> Math.max(most * KEPT, now));
+            maxPerMs.merge(kind, perMs, (highest, latest) -> Math.max(highest * RETAINED_FRACTION, latest));
             count.sinceMs = nowMs;
             count.answers = 0;
         }
     }
 
     /**
-     * Attempts a millisecond that a node of this kind may be sent, whose part {@code warmth} is warm for certain; that of
-     * the weakest kind seen where none of its own was. 0 while nothing is known.
+     * Returns the rate, in attempts a millisecond, at which a node of this kind may be sent requests while the fraction
+     * {@code warmFraction} of its capacity is certain to be available. For a kind that was not seen yet, the rate of the weakest
+     * kind is the base. Returns 0 while no rate is known.
      */
-    public double allowedPerMs(int kind, double warmth) {
+    public double allowedPerMs(int kind, double warmFraction) {
         double weakest =
-                mostPerMs.values().stream().mapToDouble(perMs -> perMs).min().orElse(0);
-        return own * warmth * mostPerMs.getOrDefault(kind, weakest);
+                maxPerMs.values().stream().mapToDouble(perMs -> perMs).min().orElse(0);
+        return share * warmFraction * maxPerMs.getOrDefault(kind, weakest);
     }
 
-    /** Tells this process's part of what it and another one of the sidecar have in hand together. */
-    public void own(double part) {
-        own = part;
+    /** Sets this process's fraction of the requests that it and another process of the sidecar have in flight. */
+    public void setShare(double share) {
+        this.share = share;
     }
 
-    /** By kind, the most that a warm node was seen to carry, in attempts a millisecond. */
-    public Map<Integer, Double> most() {
-        return Map.copyOf(mostPerMs);
+    /** Returns, by kind, the highest rate at which a warm node was seen to answer, in attempts a millisecond. */
+    public Map<Integer, Double> maxRates() {
+        return Map.copyOf(maxPerMs);
     }
 
-    /** Takes over what another process of the sidecar has seen, as far as it is believed. */
-    public void recall(Map<Integer, Double> other, double trust) {
-        other.forEach((kind, perMs) -> mostPerMs.merge(kind, perMs * trust, Math::max));
+    /** Takes over the rates that another process of the sidecar has seen, weighted by a confidence between 0 and 1. */
+    public void restore(Map<Integer, Double> other, double confidence) {
+        other.forEach((kind, perMs) -> maxPerMs.merge(kind, perMs * confidence, Math::max));
     }
 }
--- a/src/main/java/ivybank/slowstart/TokenBucket.java
+++ b/src/main/java/ivybank/slowstart/TokenBucket.java
@@ -1,26 +1,26 @@
 package ivybank.slowstart;
 
 /**
- * A token bucket of one token: it fills at the rate that is given at each look, and may be overdrawn a little, which is paid
- * back first. Times are in milliseconds.
+ * A token bucket that holds one token. The rate at which it fills is given with each check. It may be overdrawn to a limit; the
+ * debt is filled up first. Times are in milliseconds.
  */
 public final class TokenBucket {
 
-    private static final double MOST = 1; // nothing is saved up: a burst is what pushes a cold node over
-    private static final double LEAST = -4;
+    private static final double MAX_TOKENS = 1; // no burst: a burst is what overloads a cold node
+    private static final double MIN_TOKENS = -4;
 
-    private double left;
-    private double filledMs = Double.NaN;
+    private double tokens;
+    private double refilledMs = Double.NaN;
 
-    /** Fills up to now at {@code perMs} attempts a millisecond and tells whether one more may go; none where that is 0. */
-    public boolean has(double nowMs, double perMs) {
-        left = Double.isNaN(filledMs) ? 0 : Math.min(MOST, left + perMs * Math.max(0, nowMs - filledMs));
-        filledMs = nowMs;
-        return perMs > 0 && left >= MOST;
+    /** Refills at {@code perMs} tokens a millisecond and returns whether there is a token; never at a rate of 0. */
+    public boolean hasToken(double nowMs, double perMs) {
+        tokens = Double.isNaN(refilledMs) ? 0 : Math.min(MAX_TOKENS, tokens + perMs * Math.max(0, nowMs - refilledMs));
+        refilledMs = nowMs;
+        return perMs > 0 && tokens >= MAX_TOKENS;
     }
 
-    /** Notes one that went, whether it was asked for here or not. */
+    /** Takes a token for an attempt that was sent, whether or not {@link #hasToken} was asked first. */
     public void take() {
-        left = Math.max(LEAST, left - 1);
+        tokens = Math.max(MIN_TOKENS, tokens - 1);
     }
 }
--- a/src/main/java/ivybank/slowstart/package-info.java
+++ b/src/main/java/ivybank/slowstart/package-info.java
@@ -1,2 +1,2 @@
-/** What a node that has just started can bear; no input, output or clock. */
+/** Slow start: rate limits for nodes that have just started; does no I/O and reads no clock. */
 package ivybank.slowstart;
--- a/src/main/java/ivybank/subsetting/SubsetSize.java
+++ b/src/main/java/ivybank/subsetting/SubsetSize.java
@@ -5,220 +5,243 @@
 import java.util.function.IntSupplier;
 
 /**
- * How many nodes a sidecar draws from: the design's small number, more for as long as those have no room for what its client
- * sends and that asks for more, and fewer again once they have had room to spare for a while. Guards against a busy sidecar
- * among quiet ones: with a third of the fleet's traffic on a sixth of its nodes it refused most of it while the other nodes
- * were idle, for a member more each second came too late. One whose members have room never grows, however many nodes there are.
+ * Computes how many nodes a sidecar balances over. The subset starts at a small default, grows while its members have no free
+ * capacity for the sidecar's traffic, and shrinks again once they have had free capacity for a while. A sidecar whose members
+ * have free capacity never grows its subset, however many nodes there are. Growth has to be fast because of a busy sidecar
+ * among quiet ones: one with a third of the fleet's traffic on a sixth of its nodes refused most of it while the other nodes
+ * were idle, since adding one member a second was too slow.
  *
- * <p>Nothing is known of what the other sidecars do but what nodes report of their load. New members are the sample: they are
- * met with the load of the others alone. It grows fast only while those are found idle, and waits for their first reports
- * before it grows again. Guards against all sidecars that find their members full in an overloaded fleet: each went to all
- * nodes, and the handshakes and the one attempt that each may have at a node in any case overdrove them.
+ * <p>A sidecar learns of the other sidecars' traffic only from the load that nodes report. New members serve as the sample,
+ * because their first reports show the load of the other sidecars alone. The subset grows fast only while those reports show
+ * idle nodes, and it waits for them before it grows again. Otherwise, in an overloaded fleet, every sidecar finds its members
+ * full and expands to all nodes; the handshakes, and the one attempt that each sidecar may always have at a node, then overload
+ * the nodes further.
  *
- * <p>What a sidecar may need is bounded by its own traffic: as many nodes as it has requests in hand while nodes are quiet,
- * with room for chance, when each takes one. Where its members are full beyond that, they are full of others' requests, and
- * more neighbours only cost handshakes and places in the nodes' tables of connections. Guards against a hundred sidecars of
- * little traffic that all grow in a release, whose connections then take what the release has left of the nodes. For the
- * same reason many sidecars draw from fewer nodes each: no node has many more than {@link #NEIGHBOURS} of them at rest.
+ * <p>The size is bounded by the sidecar's own traffic: one node for each request that it would have in flight if the nodes were
+ * quiet, plus a margin for random variation. If its members are full beyond that, they are full of other sidecars' requests,
+ * and more members only cost handshakes and entries in the nodes' connection tables. Without the bound, a hundred sidecars with
+ * little traffic all grow during a rolling release, and their connections use up the capacity that the release has left. For the
+ * same reason subsets are smaller when there are many sidecars: without growth, a node is in the subsets of about
+ * {@link #SIDECARS_PER_NODE} of them, unless that would leave a sidecar too few nodes to compare.
  */
 public final class SubsetSize {
 
-    /** The design's "about ten". */
-    public static final int USUAL = 10;
-    /** Sidecars that draw from a node at rest, where that leaves each enough nodes; and what is enough to compare them. */
-    private static final double NEIGHBOURS = 8;
-
-    private static final int FEWEST = 6;
-    private static final double LEAST_OUT = 8; // attempts of all sidecars together that a node has room for
-    /** Over which the traffic is averaged. */
-    private static final double TRAFFIC_MS = 3000;
-
-    private static final double LEAST_SEEN = 0.1; // of that time: a few requests tell nothing
-    /** Deviations of the number of requests in hand, that there are to be places for. */
-    private static final double DEVIATIONS = 2;
-    /** Beyond what is needed, from which on members go: each that is added and goes costs handshakes. */
-    private static final double SLACK = 1.5;
-
-    private static final double SHED = 0.1; // of the size, in a tick
-    /** Of the size, that a step without room adds where nodes report their load, and where they don't. */
-    private static final double GROWTH = 0.5;
-
-    private static final double BLIND_GROWTH = 0.1;
-    /** Steps without a report after which it goes on: the aim of a request. */
-    private static final int LONGEST_WAIT = 16;
-    /** Steps between members that are added one by one, while those added last were found busy: a second. */
-    private static final int SLOW = 11;
-    /** Of its cores, that a node has in use that has no room to offer. */
-    private static final double BUSY = 0.75;
-    /** The same, of nodes that have more than they can do. */
-    private static final double OVERLOADED = 0.95;
-
-    private static final double SAMPLE_WEIGHT = 0.2;
+    /** The default number of members, while nothing calls for fewer or more. */
+    public static final int DEFAULT_SIZE = 10;
+    /** Sidecars whose subsets contain the same node, as long as that leaves each sidecar {@link #MIN_SIZE} nodes. */
+    private static final double SIDECARS_PER_NODE = 8;
+
+    /** With fewer members their latencies cannot be compared. */
+    private static final int MIN_SIZE = 6;
+    /** Concurrent attempts of all sidecars together that a node can serve. */
+    private static final double MIN_ATTEMPTS_PER_NODE = 8;
+    /** Time constant of the exponential average of the traffic. */
+    private static final double TRAFFIC_WINDOW_MS = 3000;
+
+    private static final double MIN_OBSERVED_FRACTION = 0.1; // of the window: a few requests are too small a sample
+    /** Standard deviations of the number of requests in flight that the subset has capacity for. */
+    private static final double HEADROOM_DEVIATIONS = 2;
+    /**
+     * Ratio of the size to the needed size above which members are removed. It is well above 1 because each member that is
+     * added and removed again costs handshakes.
+     */
+    private static final double EXCESS_RATIO = 1.5;
+
+    private static final double EXCESS_REDUCTION = 0.1; // fraction of the size removed per tick
+    /** Fraction of the size that is added in a step while nodes report their load and new members are idle. */
+    private static final double GROWTH_WITH_REPORTS = 0.5;
+    /** Fraction of the size that is added in a step while nodes report no load. */
+    private static final double GROWTH_WITHOUT_REPORTS = 0.1;
+    /** Steps after which growth continues without enough reports; together they take as long as the shortest aim. */
+    private static final int MAX_WAIT_STEPS = 16;
+    /** Steps between members that are added one by one while new members are found busy; about a second. */
+    private static final int SLOW_GROWTH_STEPS = 11;
+    /** CPU utilisation from which a node counts as having no free capacity. */
+    private static final double BUSY_CPU = 0.75;
+    /** Mean CPU utilisation from which nodes count as overloaded. */
+    private static final double OVERLOADED_CPU = 0.95;
+
+    private static final double NEW_MEMBER_WEIGHT = 0.2;
     private static final double REPORT_WEIGHT = 0.02;
-    /** Of the size, that goes in a tick of an overloaded fleet. */
-    private static final double RETREAT = 0.05;
-    /** Of the attempts without an answer, from which on nodes are jammed, and the weight of each. */
-    private static final double MOST_LOST = 0.08;
+    /** Fraction of the size that is removed per tick while the fleet is overloaded. */
+    private static final double OVERLOAD_REDUCTION = 0.05;
+    /** Fraction of attempts without an answer from which the subset no longer grows; above twice this it shrinks. */
+    private static final double MAX_UNANSWERED = 0.08;
 
-    private static final double LOST_WEIGHT = 0.03;
-    /** Share ticks with room to spare after which one goes. */
-    private static final int CALM_TICKS = 10;
+    private static final double UNANSWERED_WEIGHT = 0.03;
+    /** Consecutive ticks with free capacity that must be exceeded before a member is removed. */
+    private static final int MIN_CALM_TICKS = 10;
 
-    /** New members without a report: far more than are ever drawn from. */
-    static final int MOST_AWAITED = 4096;
+    /** Limit on the new members whose reports are awaited; far above the size of any subset. */
+    static final int MAX_AWAITED_REPORTS = 4096;
 
-    private final Set<Integer> awaited = new HashSet<>();
-    private boolean reports;
-    /** The load of new members as they were found, and of all members; the latest count most. */
-    private double found;
+    private final Set<Integer> awaitedReports = new HashSet<>();
+    private boolean nodesReport;
+    /** Moving average of the CPU utilisation in the first reports of new members. */
+    private double newMemberLoad;
 
-    private double load;
-    /** The part of the attempts that no answer came of; the latest count most. */
-    private double lost;
+    /** Moving average of the CPU utilisation of all warm members. */
+    private double meanLoad;
+    /** Moving average of the fraction of attempts that ended without a report, so without an answer. */
+    private double unanswered;
 
     private final IntSupplier sidecars;
-    private int counted;
-    private int usual = USUAL;
-    private int size = USUAL;
-    private double inHand;
-    private double firstAskedMs = Double.NaN;
-    private double askedMs;
-    private int lastAdded;
-    private int steps;
-    private boolean foundFull;
+    private int countedSidecars;
+    private int defaultSize = DEFAULT_SIZE;
+    private int size = DEFAULT_SIZE;
+    private double quietInFlight;
+    private double firstRequestMs = Double.NaN;
+    private double lastRequestMs;
+    private int lastGrowth;
+    private int stepsSinceGrowth;
+    private boolean membersFull;
     private int calmTicks;
 
-    /** {@code sidecars}: how many there are now, as far as is known. */
+    /**
+     * Creates a subset of the default size.
+     *
+     * @param sidecars supplies the current number of sidecars, as far as it is known
+     */
     public SubsetSize(IntSupplier sidecars) {
         this.sidecars = sidecars;
-        this.counted = sidecars.getAsInt();
+        this.countedSidecars = sidecars.getAsInt();
     }
 
-    /** How many nodes are to be drawn from, where there are so many. */
+    /** Returns the wanted number of members, which may be more than there are nodes. */
     public int size() {
         return size;
     }
 
-    /** This sidecar's part of what all may have out at one of so many nodes, as if they were alike. */
-    public double leastWindow(int listed) {
-        return LEAST_OUT * Math.max(1, listed / (double) size) / sidecars.getAsInt();
+    /** Returns this sidecar's part of the attempts that a node can serve, if {@code listed} nodes and all sidecars were alike. */
+    public double minWindow(int listed) {
+        return MIN_ATTEMPTS_PER_NODE * Math.max(1, listed / (double) size) / sidecars.getAsInt();
     }
 
-    /** How many of so many nodes are to be drawn from. */
-    public int of(int ready) {
-        int before = usual;
-        counted = sidecars.getAsInt();
-        usual = (int) Math.max(FEWEST, Math.min(USUAL, Math.ceil(NEIGHBOURS * ready / counted)));
-        size = size == before ? usual : Math.max(size, usual);
+    /** Adjusts the size to the current number of sidecars and returns how many of {@code ready} nodes to balance over. */
+    public int update(int ready) {
+        int before = defaultSize;
+        countedSidecars = sidecars.getAsInt();
+        defaultSize = (int)
+                Math.max(MIN_SIZE, Math.min(DEFAULT_SIZE, Math.ceil(SIDECARS_PER_NODE * ready / countedSidecars)));
+        size = size == before ? defaultSize : Math.max(size, defaultSize);
         return Math.min(size, ready);
     }
 
-    /** Notes a client's request that quiet nodes would be busy with for so long; 0 for one that has been asked before. */
-    public void asked(double nowMs, double quietMs) {
-        if (Double.isNaN(firstAskedMs)) {
-            firstAskedMs = nowMs;
-            askedMs = nowMs;
+    /** Records a client's request that quiet nodes would take {@code quietMs} to serve; 0 for a client's retry. */
+    public void requestReceived(double nowMs, double quietMs) {
+        if (Double.isNaN(firstRequestMs)) {
+            firstRequestMs = nowMs;
+            lastRequestMs = nowMs;
         }
-        inHand = inHand * Math.exp(-Math.max(0, nowMs - askedMs) / TRAFFIC_MS) + quietMs / TRAFFIC_MS;
-        askedMs = nowMs;
+        quietInFlight = quietInFlight * Math.exp(-Math.max(0, nowMs - lastRequestMs) / TRAFFIC_WINDOW_MS)
+                + quietMs / TRAFFIC_WINDOW_MS;
+        lastRequestMs = nowMs;
     }
 
-    /** How many nodes the sidecar's own traffic can need. */
-    int needed() {
-        // At the start there is less than the whole time to average over.
-        double seen = 1 - Math.exp(-(askedMs - firstAskedMs) / TRAFFIC_MS);
-        double mean = Double.isNaN(firstAskedMs) ? 0 : inHand / Math.max(LEAST_SEEN, seen);
-        return (int) Math.max(usual, Math.ceil(mean + DEVIATIONS * Math.sqrt(mean)));
+    /** Returns how many nodes the sidecar's own traffic can need. */
+    int neededSize() {
+        // At the start the traffic has been observed for less than the averaging window.
+        double observed = 1 - Math.exp(-(lastRequestMs - firstRequestMs) / TRAFFIC_WINDOW_MS);
+        double mean = Double.isNaN(firstRequestMs) ? 0 : quietInFlight / Math.max(MIN_OBSERVED_FRACTION, observed);
+        return (int) Math.max(defaultSize, Math.ceil(mean + HEADROOM_DEVIATIONS * Math.sqrt(mean)));
     }
 
-    /** Notes whether a request found a member with room. */
-    public void offered(boolean room) {
-        foundFull |= !room;
-        calmTicks = room ? calmTicks : 0;
+    /** Records whether a request found a member with free capacity. */
+    public void memberOffered(boolean accepted) {
+        membersFull |= !accepted;
+        calmTicks = accepted ? calmTicks : 0;
     }
 
-    /** Notes a new member. Those that left without a report are forgotten together: nodes come and go for as long as it runs. */
-    public void added(int node) {
-        if (awaited.size() >= MOST_AWAITED) {
-            awaited.clear();
+    /**
+     * Records a new member whose first report is awaited. When too many are awaited, all are forgotten together: nodes that
+     * leave without a report would otherwise accumulate for as long as the sidecar runs.
+     */
+    public void memberAdded(int node) {
+        if (awaitedReports.size() >= MAX_AWAITED_REPORTS) {
+            awaitedReports.clear();
         }
-        awaited.add(node);
+        awaitedReports.add(node);
     }
 
     /**
-     * Notes what a member reports.
+     * Records the load report of a member.
      *
-     * @param warm whether it is: one that has just started has little in use, and no room all the same
-     * @param fields of the report, empty for none
-     * @param busy which of them is the part of its cores that is in use; under 0 where that is not reported
+     * @param warm whether the node is warm; a cold one uses little CPU and has no free capacity all the same
+     * @param report the fields of the report, empty if there was none
+     * @param cpuField the index of the CPU utilisation in the report; negative if it is not reported
      */
-    public void reported(int node, boolean warm, double[] fields, int busy) {
-        boolean told = busy >= 0 && fields.length > busy;
-        if (reports) {
-            lost += LOST_WEIGHT * ((told ? 0 : 1) - lost);
+    public void reportReceived(int node, boolean warm, double[] report, int cpuField) {
+        boolean reported = cpuField >= 0 && report.length > cpuField;
+        if (nodesReport) {
+            unanswered += UNANSWERED_WEIGHT * ((reported ? 0 : 1) - unanswered);
         }
-        if (!warm || !told) {
+        if (!warm || !reported) {
             return;
         }
-        double used = Math.min(1, fields[busy]);
-        load += REPORT_WEIGHT * (used - load);
-        if (awaited.remove(node)) {
-            found += SAMPLE_WEIGHT * (used - found);
-            reports = true;
+        double cpu = Math.min(1, report[cpuField]);
+        meanLoad += REPORT_WEIGHT * (cpu - meanLoad);
+        if (awaitedReports.remove(node)) {
+            newMemberLoad += NEW_MEMBER_WEIGHT * (cpu - newMemberLoad);
+            nodesReport = true;
         }
     }
 
-    /** New members whose first report is still to come, or never will. */
-    int awaited() {
-        return awaited.size();
+    /** Returns the number of new members without a report so far. */
+    int awaitedReports() {
+        return awaitedReports.size();
     }
 
-    /** Takes over the size of another process of the sidecar, if it needed more. */
-    public void recall(int other) {
-        size = Math.max(size, other);
+    /** Takes over the size of another process of the sidecar if that was larger. */
+    public void restore(int otherSize) {
+        size = Math.max(size, otherSize);
     }
 
     /**
-     * Ends a step, of a part of the shortest aim.
+     * Grows the subset if its members were full and growth is due. Called once per control tick, a fraction of the shortest
+     * aim.
      *
-     * @param members drawn from now
-     * @param listed nodes that are known
+     * @param members the current number of members
+     * @param listed the number of known nodes
      * @return whether the size has changed
      */
     public boolean step(int members, int listed) {
-        steps++;
-        boolean due =
-                !reports || (found < BUSY ? 2 * awaited.size() <= lastAdded || steps > LONGEST_WAIT : steps > SLOW);
-        int most = Math.min(listed, needed());
-        boolean grows = foundFull && due && members >= size && size < most && lost < MOST_LOST;
-        foundFull = false;
+        stepsSinceGrowth++;
+        boolean due = !nodesReport
+                || (newMemberLoad < BUSY_CPU
+                        ? 2 * awaitedReports.size() <= lastGrowth || stepsSinceGrowth > MAX_WAIT_STEPS
+                        : stepsSinceGrowth > SLOW_GROWTH_STEPS);
+        int maxSize = Math.min(listed, neededSize());
+        boolean grows = membersFull && due && members >= size && size < maxSize && unanswered < MAX_UNANSWERED;
+        membersFull = false;
         if (grows) {
-            double more = !reports ? BLIND_GROWTH * size : found < BUSY ? GROWTH * size : 1;
-            lastAdded = Math.min(most - size, (int) Math.ceil(more));
-            size += lastAdded;
-            steps = 0;
-            awaited.clear(); // those to come are the next sample
+            double growth = !nodesReport
+                    ? GROWTH_WITHOUT_REPORTS * size
+                    : newMemberLoad < BUSY_CPU ? GROWTH_WITH_REPORTS * size : 1;
+            lastGrowth = Math.min(maxSize - size, (int) Math.ceil(growth));
+            size += lastGrowth;
+            stepsSinceGrowth = 0;
+            awaitedReports.clear(); // the members added next are the next sample
         }
         return grows;
     }
 
     /**
-     * Ends a tick of the shares.
+     * Shrinks the subset if it is larger than needed. Called once per update of the shares.
      *
-     * @param spare whether at least half of the members' room is free
-     * @param listed nodes that are known
+     * @param calm whether at least half of the members' capacity is free
+     * @param listed the number of known nodes
      * @return whether the size may have changed
      */
-    public boolean tick(boolean spare, int listed) {
-        calmTicks = spare ? calmTicks + 1 : 0;
-        // Where all are drawn from, or those met last were busy, no idle node is left to be found.
-        boolean noneIdle = size >= listed || found >= BUSY;
-        boolean overloaded = lost > 2 * MOST_LOST || load >= OVERLOADED && noneIdle;
-        int fewer = size > SLACK * needed()
-                ? (int) Math.ceil(SHED * size)
-                : overloaded ? (int) Math.ceil(RETREAT * size) : calmTicks > CALM_TICKS ? 1 : 0;
+    public boolean tick(boolean calm, int listed) {
+        calmTicks = calm ? calmTicks + 1 : 0;
+        // If all nodes are members, or the latest members were busy, there is no idle node left to find.
+        boolean noneIdle = size >= listed || newMemberLoad >= BUSY_CPU;
+        boolean overloaded = unanswered > 2 * MAX_UNANSWERED || meanLoad >= OVERLOADED_CPU && noneIdle;
+        int reduction = size > EXCESS_RATIO * neededSize()
+                ? (int) Math.ceil(EXCESS_REDUCTION * size)
+                : overloaded ? (int) Math.ceil(OVERLOAD_REDUCTION * size) : calmTicks > MIN_CALM_TICKS ? 1 : 0;
         int before = size;
-        size = Math.min(size, Math.max(usual, size - fewer));
-        return size < before || sidecars.getAsInt() != counted;
+        size = Math.min(size, Math.max(defaultSize, size - reduction));
+        return size < before || sidecars.getAsInt() != countedSidecars;
     }
 }
--- a/src/test/java/ivybank/concurrency/ConcurrencyLimitTest.java
+++ b/src/test/java/ivybank/concurrency/ConcurrencyLimitTest.java
@@ -10,61 +10,61 @@
 
     @Test
     void twoProcessesFillOneLimitTogether() {
-        ConcurrencyLimit window = new ConcurrencyLimit();
-        window.reset(4);
-        window.sent(0, 100);
-        window.elsewhere(2);
-        assertFalse(window.isFull(0));
-        window.sent(0, 100);
-        assertTrue(window.isFull(0));
-        window.elsewhere(0);
-        assertFalse(window.isFull(0), "the other has ended");
+        ConcurrencyLimit limit = new ConcurrencyLimit();
+        limit.reset(4);
+        limit.sent(0, 100);
+        limit.elsewhere(2);
+        assertFalse(limit.isFull(0));
+        limit.sent(0, 100);
+        assertTrue(limit.isFull(0));
+        limit.elsewhere(0);
+        assertFalse(limit.isFull(0), "the other has ended");
     }
 
     @Test
     void itGrowsWhileItIsUsedAndAnswersAreQuickAndShrinksNoFurtherThanItsLeast() {
-        ConcurrencyLimit window = new ConcurrencyLimit();
-        window.reset(4);
-        window.answered(0, 100, 100, 100, 1);
-        assertEquals(4, window.size(), "nothing was out");
-        window.sent(0, 100);
-        window.answered(0, 100, 100, 100, 1);
-        assertEquals(4.25, window.size());
+        ConcurrencyLimit limit = new ConcurrencyLimit();
+        limit.reset(4);
+        limit.answered(0, 100, 100, 100, 1);
+        assertEquals(4, limit.size(), "nothing was out");
+        limit.sent(0, 100);
+        limit.answered(0, 100, 100, 100, 1);
+        assertEquals(4.25, limit.size());
         for (int i = 0; i < 50; i++) {
-            window.answered(0, 1000, 100, 100, 2);
+            limit.answered(0, 1000, 100, 100, 2);
         }
-        assertEquals(2, window.size(), "one of few sidecars, which learns quickly, keeps its least");
+        assertEquals(2, limit.size(), "one of few sidecars, which learns quickly, keeps its least");
         for (int i = 0; i < 50; i++) {
-            window.answered(0, 1000, 100, 100, 0.8);
+            limit.answered(0, 1000, 100, 100, 0.8);
         }
-        assertEquals(0.2, window.size(), 1e-9, "one of many a quarter of it");
+        assertEquals(0.2, limit.size(), 1e-9, "one of many a quarter of it");
     }
 
     @Test
     void aSlowAnswerLeavesNoMoreRoomThanWasUsed() {
-        ConcurrencyLimit window = new ConcurrencyLimit();
-        window.reset(8);
+        ConcurrencyLimit limit = new ConcurrencyLimit();
+        limit.reset(8);
         for (int i = 0; i < 2; i++) {
-            window.sent(0, 100);
+            limit.sent(0, 100);
         }
-        window.ended();
-        window.answered(0, 200, 100, 100, 0.1);
-        assertEquals(2 - 0.35, window.size(), 1e-9, "two were out, and that was too many");
+        limit.ended();
+        limit.answered(0, 200, 100, 100, 0.1);
+        assertEquals(2 - 0.35, limit.size(), 1e-9, "two were out, and that was too many");
     }
 
     /** Sends whenever it may for so long; each attempt is answered after its latency. Returns how many went. */
-    private static int sentWithin(ConcurrencyLimit window, int forMs, int latencyMs, int quietMs, double least) {
+    private static int sentWithin(ConcurrencyLimit limit, int durationMs, int latencyMs, int quietMs, double minSize) {
         int sent = 0;
-        int answeredAt = -1;
-        for (int ms = 0; ms < forMs; ms++) {
-            if (ms == answeredAt) {
-                window.ended();
-                window.answered(ms, latencyMs, quietMs, 300, least);
-                answeredAt = -1;
+        int answerDueMs = -1;
+        for (int ms = 0; ms < durationMs; ms++) {
+            if (ms == answerDueMs) {
+                limit.ended();
+                limit.answered(ms, latencyMs, quietMs, 300, minSize);
+                answerDueMs = -1;
             }
-            if (answeredAt < 0 && !window.isFull(ms)) {
-                window.sent(ms, 300);
-                answeredAt = ms + latencyMs;
+            if (answerDueMs < 0 && !limit.isFull(ms)) {
+                limit.sent(ms, 300);
+                answerDueMs = ms + latencyMs;
                 sent++;
             }
         }
@@ -75,10 +75,10 @@
     void aHundredLimitsOfAJammedNodeLeaveItAlmostAlone() {
         int sent = 0;
         for (int sidecar = 0; sidecar < 100; sidecar++) {
-            ConcurrencyLimit window = new ConcurrencyLimit();
-            window.reset(1);
-            sentWithin(window, 10_000, 1200, 300, 0.08); // what it takes while it is jammed
-            sent += sentWithin(window, 40_000, 1200, 300, 0.08);
+            ConcurrencyLimit limit = new ConcurrencyLimit();
+            limit.reset(1);
+            sentWithin(limit, 10_000, 1200, 300, 0.08); // what it takes while it is jammed
+            sent += sentWithin(limit, 40_000, 1200, 300, 0.08);
         }
         double out = sent * 1200 / 40_000.0;
         assertTrue(out <= 0.25 * 8 * 1.5 * 1200 / 300, out + " of a hundred sidecars are out there at once");
@@ -87,33 +87,33 @@
 
     @Test
     void oneQuickAnswerIsNoReasonToGoBackToOneAtAnyTime() {
-        ConcurrencyLimit window = new ConcurrencyLimit();
-        window.reset(0.2);
-        window.sent(0, 100);
-        window.ended();
-        window.answered(100, 50, 100, 100, 0.1);
-        assertEquals(0.45, window.size(), 1e-9);
-        window.sent(600, 100);
-        window.ended();
-        assertTrue(window.isFull(700), "a pace from one attempt to the next, not only after a slow answer");
-        assertFalse(window.isFull(900));
+        ConcurrencyLimit limit = new ConcurrencyLimit();
+        limit.reset(0.2);
+        limit.sent(0, 100);
+        limit.ended();
+        limit.answered(100, 50, 100, 100, 0.1);
+        assertEquals(0.45, limit.size(), 1e-9);
+        limit.sent(600, 100);
+        limit.ended();
+        assertTrue(limit.isFull(700), "a pace from one attempt to the next, not only after a slow answer");
+        assertFalse(limit.isFull(900));
     }
 
     @Test
     void aFailureFreesItsPlaceNoSoonerThanAnAnswerWould() {
-        ConcurrencyLimit window = new ConcurrencyLimit();
-        window.reset(2);
+        ConcurrencyLimit limit = new ConcurrencyLimit();
+        limit.reset(2);
         int sent = 0;
         for (int ms = 0; ms < 1000; ms++) { // fails in the same millisecond
-            if (!window.isFull(ms)) {
-                window.sent(ms, 100);
-                window.ended();
-                window.failed(ms, 0, 100);
+            if (!limit.isFull(ms)) {
+                limit.sent(ms, 100);
+                limit.ended();
+                limit.failed(ms, 0, 100);
                 sent++;
             }
         }
         assertEquals(20, sent, 1, "two places, for 100 ms each");
-        window.failed(2000, 500, 100);
-        assertFalse(window.isFull(2000), "a late failure has held its place already");
+        limit.failed(2000, 500, 100);
+        assertFalse(limit.isFull(2000), "a late failure has held its place already");
     }
 }
--- a/src/test/java/ivybank/policy/DeparturesTest.java
+++ b/src/test/java/ivybank/policy/DeparturesTest.java
@@ -24,23 +24,23 @@
 
     /** What an upstream does with an attempt: its outcome once the time has come, or null to stay silent. */
     private interface Fleet {
-        Outcome answer(Sidecar.Sent attempt, double ageMs);
+        Outcome answer(RuleCheckingSidecar.SentAttempt attempt, double ageMs);
     }
 
     private static final Fleet SOUND = (attempt, ageMs) -> ageMs >= 50 ? Outcome.OK : null;
 
     /** Plays requests at a steady pace, the classes in turn. */
-    private static void play(Sidecar sidecar, double ms, double everyMs, Fleet fleet) {
+    private static void play(RuleCheckingSidecar sidecar, double ms, double everyMs, Fleet fleet) {
         int classes = sidecar.settings.classes().size();
-        double until = sidecar.now + ms;
-        for (int i = 0; sidecar.now < until; i++) {
+        double until = sidecar.nowMs + ms;
+        for (int i = 0; sidecar.nowMs < until; i++) {
             sidecar.request(i % classes);
             for (double passed = 0; passed < everyMs; passed += Samples.TICK_MS) {
-                sidecar.pass(Samples.TICK_MS);
-                for (Sidecar.Sent attempt : sidecar.out()) {
-                    Outcome outcome = fleet.answer(attempt, sidecar.now - attempt.atMs);
+                sidecar.advance(Samples.TICK_MS);
+                for (RuleCheckingSidecar.SentAttempt attempt : sidecar.inFlight()) {
+                    Outcome outcome = fleet.answer(attempt, sidecar.nowMs - attempt.sentMs);
                     if (outcome != null) {
-                        sidecar.end(attempt, outcome);
+                        sidecar.endAttempt(attempt, outcome);
                     }
                 }
             }
@@ -51,41 +51,41 @@
         return (attempt, ageMs) -> (attempt.upstream == upstream ? its : SOUND).answer(attempt, ageMs);
     }
 
-    private static long sentTo(Sidecar sidecar, int upstream, double sinceMs) {
+    private static long sentTo(RuleCheckingSidecar sidecar, int upstream, double sinceMs) {
         return sidecar.sent.stream()
-                .filter(s -> s.upstream == upstream && s.atMs >= sinceMs)
+                .filter(attempt -> attempt.upstream == upstream && attempt.sentMs >= sinceMs)
                 .count();
     }
 
-    private static Sidecar sidecar(int upstreams) {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 5);
-        sidecar.ready(upstreams);
+    private static RuleCheckingSidecar sidecar(int upstreams) {
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
+        sidecar.listReady(upstreams);
         play(sidecar, 5000, 10, SOUND);
         return sidecar;
     }
 
     /** Eight sidecars have room for one attempt each at a slow server. */
-    private static Sidecar oneOfEight(int upstreams) {
-        Sidecar sidecar = new Sidecar(
+    private static RuleCheckingSidecar oneOfEight(int upstreams) {
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                 Samples.settings(8, LIMITS, false, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1)), 5);
-        sidecar.ready(upstreams);
+        sidecar.listReady(upstreams);
         play(sidecar, 5000, 10, SOUND);
         return sidecar;
     }
 
     private static void assertSetAsideAndBack(Fleet trouble) {
-        Sidecar sidecar = sidecar(5);
+        RuleCheckingSidecar sidecar = sidecar(5);
         play(sidecar, 1000, 10, one(2, trouble));
-        double later = sidecar.now;
+        double later = sidecar.nowMs;
         play(sidecar, 8000, 10, one(2, trouble));
         assertTrue(sentTo(sidecar, 2, later) <= 12, "only trials: " + sentTo(sidecar, 2, later));
         assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 is set aside")));
         play(sidecar, 15_000, 10, SOUND);
-        long last = sentTo(sidecar, 2, sidecar.now - 5000);
+        long last = sentTo(sidecar, 2, sidecar.nowMs - 5000);
         assertTrue(last > 10, "back in the draw: " + last);
         assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 answers again")));
         assertTrue(sidecar.served > 0.95 * (sidecar.served + sidecar.refused + sidecar.failed));
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
@@ -110,42 +110,43 @@
 
     @Test
     void unsafeRequestsAreNotRiskedOnTrials() {
-        Sidecar sidecar = new Sidecar(
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                 Samples.settings(
                         Samples.requestClass(Effect.UNSAFE, Group.ALL, 1),
                         Samples.requestClass(Effect.SAFE, Group.ALL, 1)),
                 5);
-        sidecar.ready(5);
+        sidecar.listReady(5);
         play(sidecar, 5000, 10, SOUND);
         play(sidecar, 2000, 10, one(2, (attempt, ageMs) -> null));
-        double later = sidecar.now;
+        double later = sidecar.nowMs;
         play(sidecar, 5000, 10, one(2, (attempt, ageMs) -> null));
         assertTrue(
                 sidecar.sent.stream()
-                        .filter(s -> s.upstream == 2 && s.atMs >= later)
-                        .noneMatch(s -> s.request % 2 == 1),
+                        .filter(attempt -> attempt.upstream == 2 && attempt.sentMs >= later)
+                        .noneMatch(attempt -> attempt.request % 2 == 1),
                 "requests of odd number are unsafe");
         assertTrue(sentTo(sidecar, 2, later) > 0, "safe ones try it");
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
     void whereNothingIsSafeAServerSetAsideStillComesBack() {
         // Only safe requests were trials: without such a class a server once set aside stayed out for good.
-        Sidecar sidecar = new Sidecar(Samples.settings(Samples.requestClass(Effect.UNSAFE, Group.ALL, 1)), 5);
-        sidecar.ready(5);
+        RuleCheckingSidecar sidecar =
+                new RuleCheckingSidecar(Samples.settings(Samples.requestClass(Effect.UNSAFE, Group.ALL, 1)), 5);
+        sidecar.listReady(5);
         play(sidecar, 5000, 10, SOUND);
         play(sidecar, 2000, 10, one(2, (attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null));
-        double later = sidecar.now;
+        double later = sidecar.nowMs;
         play(sidecar, 3000, 10, one(2, (attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null));
         assertTrue(sentTo(sidecar, 2, later) <= 10, "out for the most part");
         play(sidecar, 8000, 10, SOUND);
-        assertTrue(sentTo(sidecar, 2, sidecar.now - 3000) > 20, "back: " + sentTo(sidecar, 2, sidecar.now - 3000));
-        assertEquals(List.of(), sidecar.breaches);
+        assertTrue(sentTo(sidecar, 2, sidecar.nowMs - 3000) > 20, "back: " + sentTo(sidecar, 2, sidecar.nowMs - 3000));
+        assertEquals(List.of(), sidecar.violations);
     }
 
     /** Settings of sidecars that are told by probes what servers hold. */
-    private static Sidecar probing(double price) {
+    private static RuleCheckingSidecar probing(double price) {
         Settings plain = Samples.settings(Samples.requestClass(Effect.UNSAFE, Group.ALL, 1));
         Settings settings = new Settings(
                 plain.classes(),
@@ -159,14 +160,14 @@
                 new Limits(4, true, true, true, 0),
                 plain.contract(),
                 new Balancer.Goal(1, 0, 0, price));
-        Sidecar sidecar = new Sidecar(settings, 5);
-        sidecar.ready(8);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, 5);
+        sidecar.listReady(8);
         return sidecar;
     }
 
     @Test
     void aRequestGoesToTheProbedMemberThatHoldsLeast() {
-        Sidecar sidecar = probing(0.002);
+        RuleCheckingSidecar sidecar = probing(0.002);
         for (int round = 0; round < 20; round++) {
             int request = sidecar.request(0);
             assertTrue(sidecar.attemptsOf(request).isEmpty(), "it waits for the probes");
@@ -174,39 +175,39 @@
             sidecar.probed.clear();
             assertEquals(5, probed.stream().distinct().count());
             int idle = probed.get(round % 5);
-            probed.forEach(id ->
-                    sidecar.balancer.probeEnded(sidecar.now, id, Outcome.OK, 1, new double[] {0, id == idle ? 0 : 2}));
-            assertEquals(idle, sidecar.last().upstream);
-            sidecar.end(sidecar.last(), Outcome.OK);
+            probed.forEach(id -> sidecar.balancer.probeEnded(
+                    sidecar.nowMs, id, Outcome.OK, 1, new double[] {0, id == idle ? 0 : 2}));
+            assertEquals(idle, sidecar.lastAttempt().upstream);
+            sidecar.endAttempt(sidecar.lastAttempt(), Outcome.OK);
         }
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
     void aRequestIsNotSentWhereProbesLeaveItNoTime() {
         // All members held more than could be served within the aim, and were sent ever more.
-        Sidecar sidecar = probing(0.002);
+        RuleCheckingSidecar sidecar = probing(0.002);
         int request = sidecar.request(0);
         List.copyOf(sidecar.probed)
-                .forEach(id -> sidecar.balancer.probeEnded(sidecar.now, id, Outcome.OK, 1, new double[] {8, 9}));
-        sidecar.pass(1000);
-        assertTrue(sidecar.ended(request));
+                .forEach(id -> sidecar.balancer.probeEnded(sidecar.nowMs, id, Outcome.OK, 1, new double[] {8, 9}));
+        sidecar.advance(1000);
+        assertTrue(sidecar.isCompleted(request));
         assertEquals(0, sidecar.attemptsOf(request).size());
         assertEquals(1, sidecar.refused);
     }
 
     @Test
     void probesThatAreNotAnsweredHoldARequestForAControlTickAtMost() {
-        Sidecar sidecar = probing(0.002);
+        RuleCheckingSidecar sidecar = probing(0.002);
         int request = sidecar.request(0);
-        sidecar.pass(130); // two control ticks of a sixteenth of the aim
+        sidecar.advance(130); // two control ticks of a sixteenth of the aim
         assertEquals(1, sidecar.attemptsOf(request).size());
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
     void dearProbesAreNotSent() {
-        Sidecar sidecar = probing(0.05);
+        RuleCheckingSidecar sidecar = probing(0.05);
         int request = sidecar.request(0);
         assertEquals(1, sidecar.attemptsOf(request).size());
         assertTrue(sidecar.probed.isEmpty());
@@ -214,21 +215,21 @@
 
     @Test
     void whenMostFailTheyAreStillTried() {
-        Sidecar sidecar = sidecar(5);
+        RuleCheckingSidecar sidecar = sidecar(5);
         play(sidecar, 10_000, 20, (attempt, ageMs) -> Outcome.ERROR);
-        double from = sidecar.now;
+        double from = sidecar.nowMs;
         play(sidecar, 3000, 20, SOUND);
         assertTrue(sidecar.sent.stream()
-                        .filter(s -> s.atMs >= from && s.outcome == Outcome.OK)
+                        .filter(attempt -> attempt.sentMs >= from && attempt.outcome == Outcome.OK)
                         .count()
                 > 20);
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
     void aStuckAttemptIsCopiedOnlyWhereAllowed() {
         for (boolean copies : new boolean[] {true, false}) {
-            Sidecar sidecar = new Sidecar(
+            RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                     Samples.settings(
                             1,
                             new Limits(4, copies, true, false, 0),
@@ -236,35 +237,36 @@
                             List.of(),
                             Samples.requestClass(Effect.SAFE, Group.ALL, 1)),
                     5);
-            sidecar.ready(5);
+            sidecar.listReady(5);
             play(sidecar, 5000, 10, SOUND);
-            double from = sidecar.now;
+            double from = sidecar.nowMs;
             play(sidecar, 2000, 10, one(2, (attempt, ageMs) -> null));
-            boolean copied = sidecar.sent.stream().anyMatch(s -> s.atMs >= from && s.number > 0 && s.atMs < from + 500);
+            boolean copied = sidecar.sent.stream()
+                    .anyMatch(attempt -> attempt.sentMs >= from && attempt.number > 0 && attempt.sentMs < from + 500);
             assertEquals(copies, copied);
-            assertEquals(List.of(), sidecar.breaches);
+            assertEquals(List.of(), sidecar.violations);
         }
     }
 
     @Test
     void aSparseSidecarCopiesNothing() {
         // At two requests a second a long request looks stuck; its copy only cost work.
-        Sidecar sidecar = new Sidecar(Samples.safe(), 5);
-        sidecar.ready(5);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
+        sidecar.listReady(5);
         play(sidecar, 20_000, 500, SOUND);
-        double from = sidecar.now;
+        double from = sidecar.nowMs;
         play(sidecar, 20_000, 500, one(2, (attempt, ageMs) -> ageMs >= 800 ? Outcome.OK : null));
         assertTrue(sentTo(sidecar, 2, from) > 0);
-        assertTrue(sidecar.sent.stream().allMatch(s -> s.number == 0), "no copies");
+        assertTrue(sidecar.sent.stream().allMatch(attempt -> attempt.number == 0), "no copies");
     }
 
     @Test
     void slowServersGetFewerAttemptsAtATimeAndRecover() {
-        Sidecar sidecar = oneOfEight(5);
+        RuleCheckingSidecar sidecar = oneOfEight(5);
         play(sidecar, 10_000, 10, (attempt, ageMs) -> ageMs >= 400 ? Outcome.OK : null);
         assertTrue(
-                sidecar.out().size() <= 10,
-                "few out at slow servers: " + sidecar.out().size());
+                sidecar.inFlight().size() <= 10,
+                "few out at slow servers: " + sidecar.inFlight().size());
         assertTrue(sidecar.refused > 0);
         play(sidecar, 20_000, 10, SOUND);
         int refused = sidecar.refused;
@@ -275,8 +277,8 @@
 
     @Test
     void overloadShedsRepeatsFirst() {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 5);
-        sidecar.ready(2);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
+        sidecar.listReady(2);
         play(sidecar, 5000, 20, SOUND);
         List<Integer> first = new ArrayList<>();
         List<Integer> repeats = new ArrayList<>();
@@ -285,10 +287,11 @@
                 first.add(sidecar.request(0, 0, 4000, false));
                 repeats.add(sidecar.request(0, 0, 4000, true));
             }
-            sidecar.pass(20);
-            List<Sidecar.Sent> out = sidecar.out();
-            for (Sidecar.Sent attempt : out.subList(0, Math.min(3, out.size()))) { // three of the six that came
-                sidecar.end(attempt, Outcome.OK);
+            sidecar.advance(20);
+            List<RuleCheckingSidecar.SentAttempt> out = sidecar.inFlight();
+            for (RuleCheckingSidecar.SentAttempt attempt :
+                    out.subList(0, Math.min(3, out.size()))) { // three of the six that came
+                sidecar.endAttempt(attempt, Outcome.OK);
             }
         }
         assertTrue(
@@ -301,29 +304,31 @@
         // With two requests a second no window ever fills; only the lateness of all attempts shows a jam.
         Settings settings = Samples.settings(
                 Samples.requestClass(Effect.SAFE, Group.ALL, 1), Samples.requestClass(Effect.SAFE, Group.ALL, 5));
-        Sidecar sidecar = new Sidecar(settings, 5);
-        sidecar.ready(10);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, 5);
+        sidecar.listReady(10);
         play(sidecar, 10_000, 500, SOUND);
         int before = sidecar.refused;
         assertEquals(0, before);
         Fleet jammed = (attempt, ageMs) -> ageMs >= 900 ? Outcome.OK : null;
         play(sidecar, 15_000, 500, jammed);
-        double from = sidecar.now;
+        double from = sidecar.nowMs;
         play(sidecar, 30_000, 500, jammed);
         int[] sent = new int[2];
-        sidecar.sent.stream().filter(s -> s.atMs > from && s.number == 0).forEach(s -> sent[(s.request + 1) % 2]++);
+        sidecar.sent.stream()
+                .filter(attempt -> attempt.sentMs > from && attempt.number == 0)
+                .forEach(attempt -> sent[(attempt.request + 1) % 2]++);
         assertTrue(sent[0] + sent[1] < 30, "of 60 admitted: " + (sent[0] + sent[1]));
         assertTrue(sent[1] >= sent[0], sent[1] + " and " + sent[0]);
         play(sidecar, 25_000, 500, SOUND);
         int refused = sidecar.refused;
         play(sidecar, 10_000, 500, SOUND);
         assertEquals(refused, sidecar.refused, "all admitted again");
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
     void aFleetThatIsSlowForGoodIsUsedAgainInBoundedTime() {
-        Sidecar sidecar = sidecar(5);
+        RuleCheckingSidecar sidecar = sidecar(5);
         Fleet slow = (attempt, ageMs) -> ageMs >= 200 ? Outcome.OK : null;
         play(sidecar, 60_000, 20, slow);
         int served = sidecar.served;
@@ -331,9 +336,10 @@
         assertTrue(sidecar.served - served > 200, "of 250 served: " + (sidecar.served - served));
     }
 
-    private static double part(Sidecar sidecar, List<Integer> requests) {
+    private static double part(RuleCheckingSidecar sidecar, List<Integer> requests) {
         return requests.stream()
-                        .filter(id -> sidecar.attemptsOf(id).stream().anyMatch(s -> s.outcome == Outcome.OK))
+                        .filter(id ->
+                                sidecar.attemptsOf(id).stream().anyMatch(attempt -> attempt.outcome == Outcome.OK))
                         .count()
                 / (double) requests.size();
     }
@@ -342,55 +348,57 @@
     void theWorthierClassIsServedFirstUnderOverload() {
         Settings settings = Samples.settings(
                 Samples.requestClass(Effect.SAFE, Group.ALL, 1), Samples.requestClass(Effect.SAFE, Group.ALL, 5));
-        Sidecar sidecar = new Sidecar(settings, 5);
-        sidecar.ready(2);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, 5);
+        sidecar.listReady(2);
         play(sidecar, 5000, 20, SOUND);
-        double from = sidecar.now;
+        double from = sidecar.nowMs;
         play(sidecar, 10_000, 5, (attempt, ageMs) -> ageMs >= 150 ? Outcome.OK : null);
         int[] sent = new int[2];
-        sidecar.sent.stream().filter(s -> s.atMs > from + 2000).forEach(s -> sent[(s.request + 1) % 2]++);
+        sidecar.sent.stream()
+                .filter(attempt -> attempt.sentMs > from + 2000)
+                .forEach(attempt -> sent[(attempt.request + 1) % 2]++);
         assertTrue(sent[1] > 2 * sent[0], sent[1] + " and " + sent[0]);
     }
 
     @Test
     void aColdServerGetsItsPartAndSidecarsTogetherStayInTheBudget() {
-        List<Sidecar> sidecars = new ArrayList<>();
+        List<RuleCheckingSidecar> sidecars = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Settings settings =
                     Samples.settings(3, LIMITS, false, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1));
-            Sidecar sidecar = new Sidecar(settings, i);
-            sidecar.ready(5);
+            RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, i);
+            sidecar.listReady(5);
             play(sidecar, 5000, 10, SOUND);
-            sidecar.list(ListKind.DELTA, Sidecar.upstream(9, Status.READY, sidecar.now - 100));
+            sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(9, Status.READY, sidecar.nowMs - 100));
             sidecars.add(sidecar);
         }
-        double from = sidecars.get(0).now;
+        double from = sidecars.get(0).nowMs;
         double warmPerS = 0;
         double coldPerS = 0;
-        for (Sidecar sidecar : sidecars) {
+        for (RuleCheckingSidecar sidecar : sidecars) {
             play(sidecar, 2000, 10, SOUND);
             coldPerS += sentTo(sidecar, 9, from) / 2.0;
             warmPerS += sentTo(sidecar, 1, from) / 2.0;
         }
         // A quarter warm at the start, and the fleet far from full: about a third of a warm server's rate.
         assertTrue(coldPerS > 0.1 * warmPerS && coldPerS < 0.7 * warmPerS, coldPerS + " of " + warmPerS);
-        for (Sidecar sidecar : sidecars) {
+        for (RuleCheckingSidecar sidecar : sidecars) {
             play(sidecar, 20_000, 10, SOUND);
-            assertTrue(sentTo(sidecar, 9, sidecar.now - 3000) > 20, "warm now");
+            assertTrue(sentTo(sidecar, 9, sidecar.nowMs - 3000) > 20, "warm now");
         }
     }
 
     @Test
     void aFirstTimeoutUnderTheTypicalLatencyLeavesTheSharesSound() {
         // The running median fell to zero, every share became NaN and nothing was sent ever after.
-        Sidecar sidecar = new Sidecar(Samples.safe(), 5);
-        sidecar.ready(5);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
+        sidecar.listReady(5);
         for (int i = 0; i < 3; i++) {
             sidecar.request(0, 0, 95, false);
-            sidecar.pass(100);
+            sidecar.advance(100);
         }
         sidecar.request(0);
-        sidecar.pass(3000);
+        sidecar.advance(3000);
         int before = sidecar.sent.size();
         play(sidecar, 5000, 50, SOUND);
         assertTrue(sidecar.sent.size() - before >= 95, "sent: " + (sidecar.sent.size() - before));
@@ -403,13 +411,13 @@
         int sent = 0;
         int offered = 0;
         for (int i = 0; i < 45; i++) {
-            Sidecar sidecar = new Sidecar(
+            RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                     Samples.settings(45, LIMITS, false, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1)), i);
-            sidecar.ready(9);
+            sidecar.listReady(9);
             play(sidecar, 5000, 50, SOUND);
             play(sidecar, 3000, 50, (attempt, ageMs) -> ageMs >= 20 ? Outcome.REJECTED : null);
-            sidecar.list(ListKind.DELTA, Sidecar.upstream(10, Status.READY, sidecar.now));
-            double from = sidecar.now;
+            sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(10, Status.READY, sidecar.nowMs));
+            double from = sidecar.nowMs;
             play(sidecar, 1000, 50, (attempt, ageMs) -> ageMs >= 20 ? Outcome.REJECTED : null);
             sent += (int) sentTo(sidecar, 10, from);
             offered += 20;
@@ -419,25 +427,25 @@
     }
 
     /** Plays so many requests in each tick, more than there is room for. */
-    private static void flood(Sidecar sidecar, double ms, int inTick, boolean repeats, Fleet fleet) {
-        for (double until = sidecar.now + ms; sidecar.now < until; ) {
+    private static void flood(RuleCheckingSidecar sidecar, double ms, int inTick, boolean repeats, Fleet fleet) {
+        for (double until = sidecar.nowMs + ms; sidecar.nowMs < until; ) {
             for (int i = 0; i < inTick; i++) {
                 sidecar.request(0, 0, 4000, repeats);
             }
-            sidecar.pass(Samples.TICK_MS);
-            for (Sidecar.Sent attempt : sidecar.out()) {
-                Outcome outcome = fleet.answer(attempt, sidecar.now - attempt.atMs);
+            sidecar.advance(Samples.TICK_MS);
+            for (RuleCheckingSidecar.SentAttempt attempt : sidecar.inFlight()) {
+                Outcome outcome = fleet.answer(attempt, sidecar.nowMs - attempt.sentMs);
                 if (outcome != null) {
-                    sidecar.end(attempt, outcome);
+                    sidecar.endAttempt(attempt, outcome);
                 }
             }
         }
     }
 
     /** Answers in 50 ms; where more than four are out at one server, in so much more. */
-    private static Fleet fourAtOnce(Sidecar sidecar) {
+    private static Fleet fourAtOnce(RuleCheckingSidecar sidecar) {
         return (attempt, ageMs) -> {
-            long out = sidecar.out().stream()
+            long out = sidecar.inFlight().stream()
                     .filter(other -> other.upstream == attempt.upstream)
                     .count();
             return ageMs >= 50 * Math.max(1, out / 4.0) ? Outcome.OK : null;
@@ -447,12 +455,12 @@
     @Test
     void whatWarmServersHaveNoRoomForGoesToColdOnesAtTheRateThatIsWarmForCertain() {
         // After a release most of a fleet is young: repeats were refused by the hundred while its machines stood idle.
-        Sidecar sidecar = new Sidecar(Samples.safe(), 5);
-        sidecar.ready(8);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
+        sidecar.listReady(8);
         play(sidecar, 20_000, 5, fourAtOnce(sidecar));
-        double from = sidecar.now;
+        double from = sidecar.nowMs;
         for (int id = 1; id <= 6; id++) {
-            sidecar.list(ListKind.DELTA, Sidecar.upstream(id, Status.READY, from));
+            sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(id, Status.READY, from));
         }
         Fleet fleet = fourAtOnce(sidecar);
         flood(sidecar, 4000, 2, true, fleet); // more than the two warm ones can carry
@@ -470,10 +478,10 @@
     void aServerThatFailsAtOnceHasNoMoreRoomThanOneThatAnswers() {
         // Its window was free again at once: where the others were full it drew what they had no room for, and failed
         // it.
-        Sidecar sidecar = new Sidecar(Samples.safe(), 5);
-        sidecar.ready(4);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
+        sidecar.listReady(4);
         play(sidecar, 10_000, 5, fourAtOnce(sidecar));
-        double from = sidecar.now;
+        double from = sidecar.nowMs;
         int[] answers = {0};
         Fleet sound = fourAtOnce(sidecar);
         Fleet fleet = (attempt, ageMs) -> attempt.upstream != 1
@@ -488,53 +496,62 @@
 
     @Test
     void anEmptyListHoldsThenRefusesAndServesWhenServersCome() {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 5);
-        sidecar.list(ListKind.CACHED);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
+        sidecar.updateList(ListKind.CACHED);
         int early = sidecar.request(0);
         int late = sidecar.request(0);
-        sidecar.pass(400);
-        assertFalse(sidecar.ended(early));
-        sidecar.pass(700);
-        assertTrue(sidecar.ended(early) && sidecar.ended(late));
+        sidecar.advance(400);
+        assertFalse(sidecar.isCompleted(early));
+        sidecar.advance(700);
+        assertTrue(sidecar.isCompleted(early) && sidecar.isCompleted(late));
         int third = sidecar.request(0);
-        sidecar.ready(2);
+        sidecar.listReady(2);
         assertEquals(1, sidecar.attemptsOf(third).size());
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
     void whoFindsNoRoomWaitsForAMomentAndIsRefusedThen() {
         // The client has few connections: those that wait for an aim left none for requests that there was room for.
-        Sidecar sidecar = sidecar(1);
+        RuleCheckingSidecar sidecar = sidecar(1);
         int request = sidecar.request(0);
         while (!sidecar.attemptsOf(request).isEmpty()) {
             request = sidecar.request(0);
         }
-        sidecar.pass(20);
-        assertFalse(sidecar.ended(request), "room may come at once");
-        sidecar.pass(180);
-        assertTrue(sidecar.ended(request), "long before its aim of a second");
-        assertEquals(List.of(), sidecar.breaches);
+        sidecar.advance(20);
+        assertFalse(sidecar.isCompleted(request), "room may come at once");
+        sidecar.advance(180);
+        assertTrue(sidecar.isCompleted(request), "long before its aim of a second");
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
     void aSubsetGrowsWhereItsMembersAreFull() {
-        Sidecar sidecar = oneOfEight(14);
-        assertEquals(10, sidecar.sent.stream().map(s -> s.upstream).distinct().count());
+        RuleCheckingSidecar sidecar = oneOfEight(14);
+        assertEquals(
+                10,
+                sidecar.sent.stream()
+                        .map(attempt -> attempt.upstream)
+                        .distinct()
+                        .count());
         play(sidecar, 10_000, 5, (attempt, ageMs) -> ageMs >= 400 ? Outcome.OK : null);
-        assertTrue(sidecar.sent.stream().map(s -> s.upstream).distinct().count() > 12);
+        assertTrue(sidecar.sent.stream()
+                        .map(attempt -> attempt.upstream)
+                        .distinct()
+                        .count()
+                > 12);
     }
 
     @Test
     void oneRequestInManySecondsIsServedAndLeavesNoTimers() {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 5);
-        sidecar.ready(3);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
+        sidecar.listReady(3);
         for (int i = 0; i < 20; i++) {
             int request = sidecar.request(0);
-            sidecar.pass(50);
-            sidecar.end(sidecar.last(), Outcome.OK);
-            assertTrue(sidecar.ended(request));
-            sidecar.pass(30_000);
+            sidecar.advance(50);
+            sidecar.endAttempt(sidecar.lastAttempt(), Outcome.OK);
+            assertTrue(sidecar.isCompleted(request));
+            sidecar.advance(30_000);
         }
         assertTrue(sidecar.actions.size() < 20 * 4, "idle sidecars set no timers: " + sidecar.actions.size());
     }
@@ -543,20 +560,20 @@
     void anAskingSidecarSubscribesAndDoesSoAgainAtPacedRandomTimes() {
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
-            Sidecar sidecar = new Sidecar(
+            RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                     Samples.settings(20, LIMITS, true, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1)),
                     seed);
             assertEquals(1, sidecar.subscriptions);
-            sidecar.list(ListKind.FAILED);
-            sidecar.list(ListKind.FAILED);
-            double from = sidecar.now;
+            sidecar.updateList(ListKind.FAILED);
+            sidecar.updateList(ListKind.FAILED);
+            double from = sidecar.nowMs;
             while (sidecar.subscriptions == 1) {
-                sidecar.pass(1);
+                sidecar.advance(1);
             }
-            delays.add(sidecar.now - from);
+            delays.add(sidecar.nowMs - from);
             for (int i = 0; i < 10; i++) {
-                sidecar.list(ListKind.FAILED);
-                sidecar.pass(sidecar.settings.contract().askEveryMs() / 2);
+                sidecar.updateList(ListKind.FAILED);
+                sidecar.advance(sidecar.settings.contract().askEveryMs() / 2);
             }
             assertEquals(12, sidecar.subscriptions, "asks again within half the time allowed");
         }
@@ -569,11 +586,11 @@
         long again = 0;
         long other = 0;
         for (int seed = 0; seed < 10; seed++) { // one second of one sidecar alone may be chance
-            Sidecar sidecar = new Sidecar(Samples.safe(), seed);
-            sidecar.ready(3);
+            RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), seed);
+            sidecar.listReady(3);
             play(sidecar, 5000, 10, SOUND);
-            sidecar.list(ListKind.DELTA, Sidecar.upstream(1, Status.READY, sidecar.now));
-            double from = sidecar.now;
+            sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(1, Status.READY, sidecar.nowMs));
+            double from = sidecar.nowMs;
             play(sidecar, 1000, 10, SOUND);
             again += sentTo(sidecar, 1, from);
             other += sentTo(sidecar, 2, from);
--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -15,38 +15,38 @@
 class HandoverTest {
 
     /** Serves at this pace for a while, upstream 1 four times as slowly as the others. */
-    private static void play(Sidecar sidecar, double ms) {
-        for (double until = sidecar.now + ms; sidecar.now < until; ) {
+    private static void play(RuleCheckingSidecar sidecar, double ms) {
+        for (double until = sidecar.nowMs + ms; sidecar.nowMs < until; ) {
             for (int i = 0; i < 6; i++) {
                 sidecar.request(0);
             }
-            sidecar.pass(Samples.TICK_MS);
-            for (Sidecar.Sent attempt : sidecar.out()) {
-                if (sidecar.now - attempt.atMs >= (attempt.upstream == 1 ? 200 : 50)) {
-                    sidecar.end(attempt, Outcome.OK);
+            sidecar.advance(Samples.TICK_MS);
+            for (RuleCheckingSidecar.SentAttempt attempt : sidecar.inFlight()) {
+                if (sidecar.nowMs - attempt.sentMs >= (attempt.upstream == 1 ? 200 : 50)) {
+                    sidecar.endAttempt(attempt, Outcome.OK);
                 }
             }
         }
     }
 
-    private static Sidecar old() {
-        Sidecar old = new Sidecar(Samples.safe(), 5);
-        old.ready(14);
+    private static RuleCheckingSidecar old() {
+        RuleCheckingSidecar old = new RuleCheckingSidecar(Samples.safe(), 5);
+        old.listReady(14);
         play(old, 6000);
         return old;
     }
 
-    private static double share(Sidecar sidecar, int upstream) {
+    private static double share(RuleCheckingSidecar sidecar, int upstream) {
         return sidecar.balancer.learned().nodes().get(upstream).share();
     }
 
     @Test
     void theNextProcessBeginsWithTheSharesTheWindowsAndTheSubsetOfTheOneBefore() {
-        Sidecar old = old();
+        RuleCheckingSidecar old = old();
         Learned<Integer> learned = old.balancer.learned();
-        Sidecar next = new Sidecar(Samples.safe(), 77);
-        next.now = old.now;
-        next.ready(14);
+        RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
+        next.nowMs = old.nowMs;
+        next.listReady(14);
         next.balancer.recall(learned, 1);
         Learned<Integer> taken = next.balancer.learned();
         learned.nodes().forEach((id, node) -> {
@@ -63,9 +63,9 @@
 
     @Test
     void whatIsOldIsBelievedInPartAndSharesStillAddUp() {
-        Sidecar old = old();
-        Sidecar next = new Sidecar(Samples.safe(), 77);
-        next.ready(14);
+        RuleCheckingSidecar old = old();
+        RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
+        next.listReady(14);
         next.balancer.recall(old.balancer.learned(), 0.5);
         double sum = 0;
         for (int id = 1; id <= 14; id++) {
@@ -78,40 +78,40 @@
 
     @Test
     void aServerThatHasRestartedIsNotTakenForWhatItWas() {
-        Sidecar old = old();
-        Sidecar next = new Sidecar(Samples.safe(), 77);
-        next.now = old.now;
-        next.ready(14);
+        RuleCheckingSidecar old = old();
+        RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
+        next.nowMs = old.nowMs;
+        next.listReady(14);
         double fresh = 8 * 14 / 10.0;
         int restarted = old.balancer.learned().nodes().entrySet().stream()
                 .filter(node -> node.getValue().window() > fresh + 2)
                 .mapToInt(Map.Entry::getKey)
                 .findFirst()
                 .orElseThrow();
-        next.list(ListKind.DELTA, Sidecar.upstream(restarted, Status.READY, next.now));
+        next.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(restarted, Status.READY, next.nowMs));
         next.balancer.recall(old.balancer.learned(), 1);
         assertEquals(fresh, next.balancer.learned().nodes().get(restarted).window(), "a fresh one");
     }
 
     @Test
     void whatIsRememberedOfServersThatAreNotListedAndOfOtherClassesIsLeftOut() {
-        Sidecar old = old();
-        Sidecar next = new Sidecar(Samples.safe(), 77);
-        next.ready(3);
+        RuleCheckingSidecar old = old();
+        RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
+        next.listReady(3);
         Learned<Integer> learned = old.balancer.learned();
         next.balancer.recall(new Learned<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
         assertEquals(3, next.balancer.learned().nodes().size());
         assertEquals(1, next.balancer.learned().admitted(), "of other classes");
         play(next, 1000);
-        assertEquals(List.of(), next.breaches);
+        assertEquals(List.of(), next.violations);
     }
 
     @Test
     void whatAnotherProcessHasOutAtAServerTakesItsRoom() {
-        Sidecar old = old();
-        Sidecar next = new Sidecar(Samples.safe(), 77);
-        next.now = old.now;
-        next.ready(14);
+        RuleCheckingSidecar old = old();
+        RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
+        next.nowMs = old.nowMs;
+        next.listReady(14);
         next.balancer.recall(old.balancer.learned(), 1);
         double windows = 0;
         for (Learned.OfNode node : old.balancer.learned().nodes().values()) {
@@ -125,7 +125,7 @@
         }
         assertTrue(next.sent.isEmpty(), "sent " + next.sent.size() + " beyond the room that the other one fills");
         next.balancer.elsewhere(Map.of(), 1);
-        next.pass(500);
+        next.advance(500);
         for (int i = 0; i < windows; i++) {
             next.request(0);
         }
--- a/src/test/java/ivybank/policy/Sidecar.java
+++ b/src/test/java/ivybank/policy/RuleCheckingSidecar.java
@@ -21,104 +21,104 @@
  * Stands in for a sidecar: passes events to a balancer, carries its timers and time-outs out, and checks every action
  * against the rules. What upstreams answer is for the test to say.
  */
-final class Sidecar implements Balancer.Actions {
+final class RuleCheckingSidecar implements Balancer.Actions {
 
     /** Makes the balancer under test. */
     interface Factory {
         Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
 
-    static final class Sent {
+    static final class SentAttempt {
         final int request;
         final int number;
         final int upstream;
-        final double atMs;
+        final double sentMs;
         final double timeoutMs;
         Outcome outcome;
 
-        Sent(int request, int number, int upstream, double atMs, double timeoutMs) {
+        SentAttempt(int request, int number, int upstream, double sentMs, double timeoutMs) {
             this.request = request;
             this.number = number;
             this.upstream = upstream;
-            this.atMs = atMs;
+            this.sentMs = sentMs;
             this.timeoutMs = timeoutMs;
         }
     }
 
-    private static final class Open {
+    private static final class RequestState {
         final RequestClass spec;
         final double deadlineMs;
-        final List<Sent> attempts = new ArrayList<>();
-        boolean ended;
+        final List<SentAttempt> attempts = new ArrayList<>();
+        boolean completed;
 
-        Open(RequestClass spec, double deadlineMs) {
+        RequestState(RequestClass spec, double deadlineMs) {
             this.spec = spec;
             this.deadlineMs = deadlineMs;
         }
 
-        boolean out() {
+        boolean hasAttemptInFlight() {
             return attempts.stream().anyMatch(sent -> sent.outcome == null);
         }
 
         boolean mayHaveRun() {
-            return attempts.stream().anyMatch(Sidecar::mayHaveRun);
+            return attempts.stream().anyMatch(RuleCheckingSidecar::mayHaveRun);
         }
     }
 
-    private record Timer(double atMs, int token) {}
+    private record Timer(double dueMs, int token) {}
 
     final Settings settings;
     final Balancer balancer;
-    final List<String> breaches = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     final List<String> actions = new ArrayList<>();
     final List<String> logs = new ArrayList<>();
     final List<Integer> probed = new ArrayList<>();
-    final List<Sent> sent = new ArrayList<>();
-    double now = 1000;
+    final List<SentAttempt> sent = new ArrayList<>();
+    double nowMs = 1000;
     int subscriptions;
     int refused;
     int failed;
     int served;
-    private int nextRequest = 1;
-    private final Map<Integer, Open> requests = new TreeMap<>();
+    private int nextRequestId = 1;
+    private final Map<Integer, RequestState> requests = new TreeMap<>();
     private final Map<Integer, Upstream> listed = new HashMap<>();
-    private final Map<Integer, Double> toldOfEnd = new HashMap<>();
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Double.compare(a.atMs, b.atMs));
+    private final Map<Integer, Double> withdrawnSinceMs = new HashMap<>();
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Double.compare(a.dueMs, b.dueMs));
 
-    Sidecar(Settings settings, long seed) {
+    RuleCheckingSidecar(Settings settings, long seed) {
         this(settings, seed, LoadShiftingBalancer::new);
     }
 
-    Sidecar(Settings settings, long seed, Factory factory) {
+    RuleCheckingSidecar(Settings settings, long seed, Factory factory) {
         this.settings = settings;
         this.balancer = factory.create(settings, seed, this);
-        balancer.start(now);
+        balancer.start(nowMs);
     }
 
     // Events.
 
-    void list(ListKind kind, Upstream... entries) {
+    void updateList(ListKind kind, Upstream... entries) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            listed.keySet().forEach(id -> toldOfEnd.putIfAbsent(id, now));
+            listed.keySet().forEach(id -> withdrawnSinceMs.putIfAbsent(id, nowMs));
         }
         for (Upstream entry : entries) {
             listed.put(entry.id(), entry);
             if (entry.status() == Status.READY) {
-                toldOfEnd.remove(entry.id());
+                withdrawnSinceMs.remove(entry.id());
             } else {
-                toldOfEnd.putIfAbsent(entry.id(), now);
+                withdrawnSinceMs.putIfAbsent(entry.id(), nowMs);
             }
         }
-        balancer.upstreams(now, kind, List.of(entries));
+        balancer.upstreams(nowMs, kind, List.of(entries));
     }
 
     /** A list of this many ready upstreams with ids from 1. */
-    void ready(int count) {
+    void listReady(int count) {
         Upstream[] entries = new Upstream[count];
         for (int i = 0; i < count; i++) {
             entries[i] = upstream(i + 1, Status.READY, 0);
         }
-        list(ListKind.FULL, entries);
+        updateList(ListKind.FULL, entries);
     }
 
     static Upstream upstream(int id, Status status, double startedMs) {
@@ -129,86 +129,86 @@
         return request(requestClass, 0, settings.classes().get(requestClass).deadlineMs(), false);
     }
 
-    int request(int requestClass, int tenant, double timeoutMs, boolean repeat) {
-        int id = nextRequest++;
-        requests.put(id, new Open(settings.classes().get(requestClass), now + timeoutMs));
-        balancer.request(now, new Request(id, requestClass, tenant, timeoutMs, repeat, false));
+    int request(int requestClass, int tenant, double timeoutMs, boolean clientRetry) {
+        int id = nextRequestId++;
+        requests.put(id, new RequestState(settings.classes().get(requestClass), nowMs + timeoutMs));
+        balancer.request(nowMs, new Request(id, requestClass, tenant, timeoutMs, clientRetry, false));
         return id;
     }
 
-    void end(Sent attempt, Outcome outcome) {
-        Open open = requests.get(attempt.request);
+    void endAttempt(SentAttempt attempt, Outcome outcome) {
+        RequestState state = requests.get(attempt.request);
         attempt.outcome = outcome;
-        boolean done = open.ended;
-        if (outcome == Outcome.OK && !open.ended) {
-            open.ended = true;
+        boolean completed = state.completed;
+        if (outcome == Outcome.OK && !state.completed) {
+            state.completed = true;
             served++;
-            done = true;
+            completed = true;
         }
         balancer.attemptEnded(
-                now,
+                nowMs,
                 new AttemptEnd(
                         attempt.request,
                         attempt.number,
                         attempt.upstream,
                         outcome,
-                        now - attempt.atMs,
-                        done,
+                        nowMs - attempt.sentMs,
+                        completed,
                         new double[0]));
     }
 
-    void clientLeaves(int request) {
-        requests.get(request).ended = true;
-        balancer.clientLeft(now, request);
+    void disconnectClient(int request) {
+        requests.get(request).completed = true;
+        balancer.clientLeft(nowMs, request);
     }
 
     /** Lets time pass, with the timers and time-outs that fall due. */
-    void pass(double ms) {
-        double until = now + ms;
+    void advance(double ms) {
+        double until = nowMs + ms;
         while (true) {
-            Sent late = null;
-            for (Sent attempt : out()) {
-                if (late == null || attempt.atMs + attempt.timeoutMs < late.atMs + late.timeoutMs) {
-                    late = attempt;
+            SentAttempt earliest = null;
+            for (SentAttempt attempt : inFlight()) {
+                if (earliest == null || attempt.sentMs + attempt.timeoutMs < earliest.sentMs + earliest.timeoutMs) {
+                    earliest = attempt;
                 }
             }
-            double lateMs = late == null ? Double.MAX_VALUE : late.atMs + late.timeoutMs;
-            double timerMs = timers.isEmpty() ? Double.MAX_VALUE : timers.peek().atMs;
-            if (Math.min(lateMs, timerMs) > until) {
+            double timeoutDueMs = earliest == null ? Double.MAX_VALUE : earliest.sentMs + earliest.timeoutMs;
+            double timerDueMs = timers.isEmpty() ? Double.MAX_VALUE : timers.peek().dueMs;
+            if (Math.min(timeoutDueMs, timerDueMs) > until) {
                 break;
             }
-            now = Math.max(now, Math.min(lateMs, timerMs));
-            if (lateMs <= timerMs) {
-                end(late, Outcome.TIMEOUT);
+            nowMs = Math.max(nowMs, Math.min(timeoutDueMs, timerDueMs));
+            if (timeoutDueMs <= timerDueMs) {
+                endAttempt(earliest, Outcome.TIMEOUT);
             } else {
-                balancer.timer(now, timers.poll().token);
+                balancer.timer(nowMs, timers.poll().token);
             }
-            overdue();
+            checkDeadlines();
         }
-        now = until;
-        overdue();
+        nowMs = until;
+        checkDeadlines();
     }
 
     // What can be asked of it.
 
-    List<Sent> out() {
+    List<SentAttempt> inFlight() {
         return sent.stream().filter(attempt -> attempt.outcome == null).toList();
     }
 
-    Sent last() {
+    SentAttempt lastAttempt() {
         return sent.get(sent.size() - 1);
     }
 
-    List<Sent> attemptsOf(int request) {
+    List<SentAttempt> attemptsOf(int request) {
         return requests.get(request).attempts;
     }
 
-    boolean ended(int request) {
-        return requests.get(request).ended;
+    boolean isCompleted(int request) {
+        return requests.get(request).completed;
     }
 
-    long open() {
-        return requests.values().stream().filter(open -> !open.ended).count();
+    long openRequests() {
+        return requests.values().stream().filter(state -> !state.completed).count();
     }
 
     // Actions, each checked.
@@ -216,67 +216,67 @@
     @Override
     public void send(int request, int upstream, double timeoutMs) {
         actions.add("send " + request + " to " + upstream + " for " + timeoutMs);
-        Open open = live(request, "send");
-        if (open == null) {
+        RequestState state = openRequest(request, "send");
+        if (state == null) {
             return;
         }
-        RequestClass spec = open.spec;
+        RequestClass spec = state.spec;
         if (!listed.containsKey(upstream)) {
-            breaches.add("sent to upstream " + upstream + " that was never listed");
+            violations.add("sent to upstream " + upstream + " that was never listed");
         }
-        if (toldOfEnd.containsKey(upstream)) {
-            breaches.add("drain: sent to upstream " + upstream + " that drains or is gone");
+        if (withdrawnSinceMs.containsKey(upstream)) {
+            violations.add("drain: sent to upstream " + upstream + " that drains or is gone");
         }
-        if (open.attempts.size() >= settings.limits().maxAttempts()) {
-            breaches.add("attempts: more than allowed");
+        if (state.attempts.size() >= settings.limits().maxAttempts()) {
+            violations.add("attempts: more than allowed");
         }
-        if (open.out() && !settings.limits().secondCopies()) {
-            breaches.add("copies: two attempts out");
+        if (state.hasAttemptInFlight() && !settings.limits().secondCopies()) {
+            violations.add("copies: two attempts out");
         }
-        for (Sent before : open.attempts) {
+        for (SentAttempt before : state.attempts) {
             if (!mayHaveRun(before)) {
                 continue;
             }
             if (spec.effect() == Effect.UNSAFE) {
-                breaches.add("repeat: unsafe request sent again");
+                violations.add("repeat: unsafe request sent again");
             }
             if (spec.effect() == Effect.KEYED
-                    && (now - before.atMs >= spec.windowMs()
+                    && (nowMs - before.sentMs >= spec.windowMs()
                             || !sameGroup(spec.group(), listed.get(before.upstream), listed.get(upstream)))) {
-                breaches.add("repeat: keyed request sent outside its group or window");
+                violations.add("repeat: keyed request sent outside its group or window");
             }
         }
-        Sent attempt = new Sent(request, open.attempts.size(), upstream, now, timeoutMs);
-        if (timeoutMs <= 0 || now + timeoutMs > open.deadlineMs) {
-            breaches.add("lost: attempt may outlast the client");
+        SentAttempt attempt = new SentAttempt(request, state.attempts.size(), upstream, nowMs, timeoutMs);
+        if (timeoutMs <= 0 || nowMs + timeoutMs > state.deadlineMs) {
+            violations.add("lost: attempt may outlast the client");
         }
-        open.attempts.add(attempt);
+        state.attempts.add(attempt);
         sent.add(attempt);
     }
 
     @Override
     public void refuse(int request, double retryAfterMs) {
         actions.add("refuse " + request);
-        Open open = live(request, "refuse");
-        if (open == null) {
+        RequestState state = openRequest(request, "refuse");
+        if (state == null) {
             return;
         }
-        boolean harmless = open.spec.effect() == Effect.SAFE
-                || !open.mayHaveRun()
-                || open.spec.effect() == Effect.KEYED && open.spec.group() == Group.ALL;
-        if (!harmless) {
-            breaches.add("repeat: refused what may have run");
+        boolean retrySafe = state.spec.effect() == Effect.SAFE
+                || !state.mayHaveRun()
+                || state.spec.effect() == Effect.KEYED && state.spec.group() == Group.ALL;
+        if (!retrySafe) {
+            violations.add("repeat: refused what may have run");
         }
-        open.ended = true;
+        state.completed = true;
         refused++;
     }
 
     @Override
     public void fail(int request) {
         actions.add("fail " + request);
-        Open open = live(request, "fail");
-        if (open != null) {
-            open.ended = true;
+        RequestState state = openRequest(request, "fail");
+        if (state != null) {
+            state.completed = true;
             failed++;
         }
     }
@@ -285,14 +285,14 @@
     public void cancel(int request, int attempt) {
         actions.add("cancel " + request + "/" + attempt);
         if (!settings.limits().cancel()) {
-            breaches.add("cancel: not allowed");
+            violations.add("cancel: not allowed");
         }
     }
 
     @Override
     public void timer(double delayMs, int token) {
         actions.add("timer " + delayMs + " " + token);
-        timers.add(new Timer(now + delayMs, token));
+        timers.add(new Timer(nowMs + delayMs, token));
     }
 
     @Override
@@ -311,7 +311,7 @@
     public void probe(int upstream) {
         probed.add(upstream);
         if (!settings.limits().probes()) {
-            breaches.add("probe: not allowed");
+            violations.add("probe: not allowed");
         }
     }
 
@@ -325,25 +325,25 @@
         actions.add("close " + upstream);
     }
 
-    private Open live(int request, String what) {
-        Open open = requests.get(request);
-        if (open == null || open.ended) {
-            breaches.add("lost: " + what + " for request " + request + " that is over or unknown");
+    private RequestState openRequest(int request, String action) {
+        RequestState state = requests.get(request);
+        if (state == null || state.completed) {
+            violations.add("lost: " + action + " for request " + request + " that is over or unknown");
             return null;
         }
-        return open;
+        return state;
     }
 
-    private void overdue() {
-        requests.forEach((id, open) -> {
-            if (!open.ended && now > open.deadlineMs) {
-                breaches.add("lost: request " + id + " not answered in time");
-                open.ended = true;
+    private void checkDeadlines() {
+        requests.forEach((id, state) -> {
+            if (!state.completed && nowMs > state.deadlineMs) {
+                violations.add("lost: request " + id + " not answered in time");
+                state.completed = true;
             }
         });
     }
 
-    private static boolean mayHaveRun(Sent attempt) {
+    private static boolean mayHaveRun(SentAttempt attempt) {
         return attempt.outcome == null || !attempt.outcome.provesNotRun();
     }
 
