--- a/src/test/java/ivybank/policy/RulesTest.java
+++ b/src/test/java/ivybank/policy/RulesTest.java
@@ -46,51 +46,52 @@
         for (int seed = 0; seed < 8; seed++) {
             Settings settings =
                     Samples.settings(3, limits, seed % 2 == 0, List.of(), Samples.requestClass(effect, group, 1));
-            Sidecar sidecar = new Sidecar(settings, seed);
+            RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, seed);
             play(sidecar, new Random(seed), 1500);
-            assertEquals(List.of(), sidecar.breaches, "seed " + seed);
-            assertEquals(0, sidecar.open());
+            assertEquals(List.of(), sidecar.violations, "seed " + seed);
+            assertEquals(0, sidecar.openRequests());
             assertTrue(sidecar.served > 0, "something was served");
         }
     }
 
     /** Random events: requests of all patience, answers of all kinds, lists old and new, restarts, clients gone. */
-    private static void play(Sidecar sidecar, Random random, int events) {
-        sidecar.list(ListKind.CACHED);
-        sidecar.ready(1 + random.nextInt(14));
+    private static void play(RuleCheckingSidecar sidecar, Random random, int events) {
+        sidecar.updateList(ListKind.CACHED);
+        sidecar.listReady(1 + random.nextInt(14));
         Outcome[] outcomes = Outcome.values();
         int newest = 0;
         for (int i = 0; i < events; i++) {
-            List<Sidecar.Sent> out = sidecar.out();
+            List<RuleCheckingSidecar.SentAttempt> out = sidecar.inFlight();
             int dice = random.nextInt(100);
             if (dice < 35) {
                 newest = sidecar.request(0, 0, random.nextInt(10) == 0 ? 5 + random.nextInt(200) : 4000, false);
             } else if (dice < 70 && !out.isEmpty()) {
                 Outcome outcome = random.nextBoolean() ? Outcome.OK : outcomes[random.nextInt(outcomes.length)];
-                sidecar.end(out.get(random.nextInt(out.size())), outcome);
+                sidecar.endAttempt(out.get(random.nextInt(out.size())), outcome);
             } else if (dice < 73) {
                 Status[] statuses = Status.values();
                 List<Upstream> entries = new ArrayList<>();
                 for (int id = 1 + random.nextInt(3); id < 16; id += 1 + random.nextInt(5)) {
-                    double startedMs = random.nextBoolean() ? 0 : sidecar.now - random.nextInt(12_000);
-                    entries.add(Sidecar.upstream(id, statuses[random.nextInt(3)], startedMs));
+                    double startedMs = random.nextBoolean() ? 0 : sidecar.nowMs - random.nextInt(12_000);
+                    entries.add(RuleCheckingSidecar.upstream(id, statuses[random.nextInt(3)], startedMs));
                 }
-                sidecar.list(random.nextInt(4) == 0 ? ListKind.FULL : ListKind.DELTA, entries.toArray(new Upstream[0]));
+                sidecar.updateList(
+                        random.nextInt(4) == 0 ? ListKind.FULL : ListKind.DELTA, entries.toArray(new Upstream[0]));
             } else if (dice < 74) {
-                sidecar.list(ListKind.FAILED);
-            } else if (dice < 76 && newest > 0 && !sidecar.ended(newest)) {
-                sidecar.clientLeaves(newest);
+                sidecar.updateList(ListKind.FAILED);
+            } else if (dice < 76 && newest > 0 && !sidecar.isCompleted(newest)) {
+                sidecar.disconnectClient(newest);
             } else {
-                sidecar.pass(random.nextInt(40));
+                sidecar.advance(random.nextInt(40));
             }
         }
-        sidecar.pass(5000);
+        sidecar.advance(5000);
     }
 
     @Test
     void theCheckerCatchesEachBreach() {
         assertCaught("drain", Effect.SAFE, (sidecar, request) -> {
-            sidecar.list(ListKind.DELTA, Sidecar.upstream(1, Status.DRAINING, 0));
+            sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(1, Status.DRAINING, 0));
             sidecar.send(request, 1, 100);
         });
         assertCaught("repeat", Effect.UNSAFE, (sidecar, request) -> {
@@ -109,82 +110,82 @@
             sidecar.refuse(request, 0);
             sidecar.fail(request);
         });
-        assertCaught("lost", Effect.SAFE, (sidecar, request) -> sidecar.pass(10_000));
+        assertCaught("lost", Effect.SAFE, (sidecar, request) -> sidecar.advance(10_000));
     }
 
     private interface Misdeed {
-        void commit(Sidecar sidecar, int request);
+        void commit(RuleCheckingSidecar sidecar, int request);
     }
 
     private static void assertCaught(String rule, Effect effect, Misdeed misdeed) {
-        Sidecar sidecar = new Sidecar(
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                 Samples.settings(Samples.requestClass(effect, Group.ZONE, 1)),
                 1,
                 (settings, seed, actions) -> new NoOpBalancer());
-        sidecar.ready(3);
+        sidecar.listReady(3);
         misdeed.commit(sidecar, sidecar.request(0));
         assertTrue(
-                sidecar.breaches.stream().anyMatch(breach -> breach.startsWith(rule)),
-                rule + " not in " + sidecar.breaches);
+                sidecar.violations.stream().anyMatch(breach -> breach.startsWith(rule)),
+                rule + " not in " + sidecar.violations);
     }
 
     @Test
     void lateAndUnknownEventsChangeNothing() {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 3);
-        sidecar.ready(3);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 3);
+        sidecar.listReady(3);
         int request = sidecar.request(0);
-        Sidecar.Sent attempt = sidecar.last();
-        sidecar.now += 50;
-        sidecar.end(attempt, Outcome.OK);
+        RuleCheckingSidecar.SentAttempt attempt = sidecar.lastAttempt();
+        sidecar.nowMs += 50;
+        sidecar.endAttempt(attempt, Outcome.OK);
         int before = sidecar.actions.size();
-        sidecar.end(attempt, Outcome.ERROR);
-        sidecar.balancer.clientLeft(sidecar.now, request);
-        sidecar.balancer.clientLeft(sidecar.now, 999);
+        sidecar.endAttempt(attempt, Outcome.ERROR);
+        sidecar.balancer.clientLeft(sidecar.nowMs, request);
+        sidecar.balancer.clientLeft(sidecar.nowMs, 999);
         sidecar.balancer.attemptEnded(
-                sidecar.now, new Balancer.AttemptEnd(999, 0, 1, Outcome.OK, 1, true, new double[0]));
-        sidecar.balancer.streamStarted(sidecar.now, 999, 0, 1);
-        sidecar.balancer.probeEnded(sidecar.now, 999, Outcome.OK, 1, new double[0]);
-        sidecar.balancer.peerMessage(sidecar.now, 1, new byte[3]);
-        sidecar.balancer.timer(sidecar.now, 999);
+                sidecar.nowMs, new Balancer.AttemptEnd(999, 0, 1, Outcome.OK, 1, true, new double[0]));
+        sidecar.balancer.streamStarted(sidecar.nowMs, 999, 0, 1);
+        sidecar.balancer.probeEnded(sidecar.nowMs, 999, Outcome.OK, 1, new double[0]);
+        sidecar.balancer.peerMessage(sidecar.nowMs, 1, new byte[3]);
+        sidecar.balancer.timer(sidecar.nowMs, 999);
         assertEquals(before, sidecar.actions.size());
     }
 
     @Test
     void theKeyedWindowCountsFromTheFirstAttemptEvenIfThatProvesNotToHaveRun() {
         // A copy was out when the first attempt's connection failed late; a third went out after the window.
-        Sidecar sidecar = new Sidecar(
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                 Samples.settings(
                         new Balancer.RequestClass("keyed", 4000, 8000, 1, 0.5, Effect.KEYED, Group.ALL, 600, false)),
                 3);
-        sidecar.ready(10);
+        sidecar.listReady(10);
         for (int i = 0; i < 300; i++) {
             sidecar.request(0);
-            sidecar.pass(20);
-            sidecar.out().forEach(s -> sidecar.end(s, Outcome.OK));
+            sidecar.advance(20);
+            sidecar.inFlight().forEach(attempt -> sidecar.endAttempt(attempt, Outcome.OK));
         }
         int request = sidecar.request(0);
-        Sidecar.Sent first = sidecar.last();
+        RuleCheckingSidecar.SentAttempt first = sidecar.lastAttempt();
         for (int i = 0; i < 100 && sidecar.attemptsOf(request).size() == 1; i++) {
             sidecar.request(0);
-            sidecar.pass(5);
-            sidecar.out().stream()
-                    .filter(s -> s.upstream != first.upstream && s.request != request)
+            sidecar.advance(5);
+            sidecar.inFlight().stream()
+                    .filter(attempt -> attempt.upstream != first.upstream && attempt.request != request)
                     .toList()
-                    .forEach(s -> sidecar.end(s, Outcome.OK));
+                    .forEach(attempt -> sidecar.endAttempt(attempt, Outcome.OK));
         }
         assertEquals(2, sidecar.attemptsOf(request).size(), "a copy was sent");
-        sidecar.pass(first.atMs + 650 - sidecar.now);
-        sidecar.end(first, Outcome.CONNECT_FAILED);
-        sidecar.end(sidecar.attemptsOf(request).get(1), Outcome.ERROR);
+        sidecar.advance(first.sentMs + 650 - sidecar.nowMs);
+        sidecar.endAttempt(first, Outcome.CONNECT_FAILED);
+        sidecar.endAttempt(sidecar.attemptsOf(request).get(1), Outcome.ERROR);
         assertEquals(2, sidecar.attemptsOf(request).size(), "no third after the window of the first");
     }
 
     @Test
     void aRequestWithLessTimeThanAControlTickIsAnsweredAtOnce() {
         // Incident id7bbad: it was held for the next control tick and answered late.
-        Sidecar sidecar = new Sidecar(Samples.safe(), 3);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 3);
         int request = sidecar.request(0, 0, 30, false);
-        assertTrue(sidecar.ended(request));
+        assertTrue(sidecar.isCompleted(request));
         assertEquals(1, sidecar.refused);
     }
 
@@ -192,14 +193,14 @@
     void aStartedStreamIsNeitherCancelledNorSentAgain() {
         Settings settings = Samples.settings(
                 new Balancer.RequestClass("stream", 1000, 4000, 1, 0, Effect.SAFE, Group.ALL, 0, true));
-        Sidecar sidecar = new Sidecar(settings, 3);
-        sidecar.ready(3);
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, 3);
+        sidecar.listReady(3);
         int request = sidecar.request(0);
-        sidecar.now += 100;
-        sidecar.balancer.streamStarted(sidecar.now, request, 0, 100);
+        sidecar.nowMs += 100;
+        sidecar.balancer.streamStarted(sidecar.nowMs, request, 0, 100);
         for (int i = 0; i < 50; i++) {
-            sidecar.now += 70;
-            sidecar.balancer.timer(sidecar.now, 1);
+            sidecar.nowMs += 70;
+            sidecar.balancer.timer(sidecar.nowMs, 1);
         }
         assertEquals(1, sidecar.attemptsOf(request).size());
         assertFalse(sidecar.actions.stream().anyMatch(action -> action.startsWith("cancel")));
@@ -207,11 +208,11 @@
 
     @Test
     void sameEventsGiveTheSameActionsAndInstancesShareNothing() {
-        Sidecar alone = new Sidecar(Samples.safe(), 11);
+        RuleCheckingSidecar alone = new RuleCheckingSidecar(Samples.safe(), 11);
         play(alone, new Random(5), 1000);
-        Sidecar neighbour = new Sidecar(Samples.safe(), 12);
+        RuleCheckingSidecar neighbour = new RuleCheckingSidecar(Samples.safe(), 12);
         play(neighbour, new Random(6), 500);
-        Sidecar beside = new Sidecar(Samples.safe(), 11);
+        RuleCheckingSidecar beside = new RuleCheckingSidecar(Samples.safe(), 11);
         play(beside, new Random(5), 1000);
         assertEquals(alone.actions, beside.actions);
         assertFalse(alone.actions.equals(neighbour.actions));
--- a/src/test/java/ivybank/policy/SharesTest.java
+++ b/src/test/java/ivybank/policy/SharesTest.java
@@ -21,15 +21,15 @@
     private static final double NEVER_SENT = 0;
 
     /** Sends requests that are answered at once, as though each had taken its upstream's time; counts the draws. */
-    private static Map<Integer, Double> draw(Sidecar sidecar, int draws, Map<Integer, Double> latencyMs) {
+    private static Map<Integer, Double> draw(RuleCheckingSidecar sidecar, int draws, Map<Integer, Double> latencyMs) {
         Map<Integer, Double> parts = new HashMap<>();
         for (int i = 0; i < draws; i++) {
             sidecar.request(0);
-            Sidecar.Sent attempt = sidecar.last();
+            RuleCheckingSidecar.SentAttempt attempt = sidecar.lastAttempt();
             double tookMs = latencyMs.getOrDefault(attempt.upstream, 100.0);
             attempt.outcome = tookMs == NEVER_SENT ? Outcome.NOT_SENT : Outcome.OK;
             sidecar.balancer.attemptEnded(
-                    sidecar.now,
+                    sidecar.nowMs,
                     new Balancer.AttemptEnd(
                             attempt.request,
                             attempt.number,
@@ -43,9 +43,9 @@
         return parts;
     }
 
-    private static Sidecar sidecar(int upstreams) {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 7);
-        sidecar.ready(upstreams);
+    private static RuleCheckingSidecar sidecar(int upstreams) {
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 7);
+        sidecar.listReady(upstreams);
         return sidecar;
     }
 
@@ -58,17 +58,17 @@
     }
 
     /** Ticks fall due while requests are in hand: the first of these rounds is counted with the second. */
-    private static void tick(Sidecar sidecar, int ticks, int draws, Map<Integer, Double> latencyMs) {
+    private static void tick(RuleCheckingSidecar sidecar, int ticks, int draws, Map<Integer, Double> latencyMs) {
         for (int round = 0; round <= ticks; round++) {
             draw(sidecar, draws, latencyMs);
-            sidecar.pass(1100);
+            sidecar.advance(1100);
         }
     }
 
     @Test
     void aTickMovesSharesByTheHandWorkedStep() {
         // l = 100, 150; mean 125; deviations -0.2, +0.2; factors 1.04, 0.96 (2,000 samples: trust 0.998).
-        Sidecar sidecar = sidecar(2);
+        RuleCheckingSidecar sidecar = sidecar(2);
         Map<Integer, Double> latencyMs = Map.of(1, 100.0, 2, 150.0);
         tick(sidecar, 5, 4000, latencyMs);
         // After five ticks 0.5 x 1.04^5 to 0.5 x 0.96^5: 0.6083 to 0.4077, over their sum 0.599 and 0.401.
@@ -81,7 +81,7 @@
     void aServerWithoutSamplesInATickKeepsItsShare() {
         // As above for 1 and 2; 3 has no samples (its attempts are never sent). After five ticks
         // 0.3333 x 1.2167, 0.3333 x 0.8154 and 0.3333, over their sum 1.0107: 0.401, 0.269, 0.330.
-        Sidecar sidecar = sidecar(3);
+        RuleCheckingSidecar sidecar = sidecar(3);
         Map<Integer, Double> latencyMs = Map.of(1, 100.0, 2, 150.0, 3, NEVER_SENT);
         tick(sidecar, 5, 6000, latencyMs);
         Map<Integer, Double> parts = draw(sidecar, DRAWS, latencyMs);
@@ -94,9 +94,9 @@
     void fewSamplesMoveAShareLittle() {
         // About two answers of each in a tick: trust about 2 / (2 + 4), a third of the full step.
         Map<Integer, Double> latencyMs = Map.of(1, 100.0, 2, 150.0);
-        Sidecar few = sidecar(2);
+        RuleCheckingSidecar few = sidecar(2);
         tick(few, 12, 4, latencyMs);
-        Sidecar many = sidecar(2);
+        RuleCheckingSidecar many = sidecar(2);
         tick(many, 12, 4000, latencyMs);
         double fewMoved = draw(few, DRAWS, latencyMs).get(1) - 0.5;
         double manyMoved = draw(many, DRAWS, latencyMs).get(1) - 0.5;
@@ -105,10 +105,10 @@
 
     @Test
     void aFarOutlierLosesShareButNeverAllOfItAndClimbsBack() {
-        Sidecar sidecar = sidecar(10);
+        RuleCheckingSidecar sidecar = sidecar(10);
         for (int tick = 0; tick < 40; tick++) {
             draw(sidecar, 500, Map.of(3, 900_000.0));
-            sidecar.pass(3000);
+            sidecar.advance(3000);
         }
         Map<Integer, Double> parts = draw(sidecar, DRAWS, Map.of());
         double low = parts.getOrDefault(3, 0.0);
@@ -119,7 +119,7 @@
                 latencyMs.put(upstream, 50 + 500 * parts.getOrDefault(upstream, 0.0)); // the busier, the slower
             }
             parts = draw(sidecar, 500, latencyMs);
-            sidecar.pass(3000);
+            sidecar.advance(3000);
         }
         double high = draw(sidecar, DRAWS, Map.of()).get(3);
         assertTrue(high > 0.07, "back near the mean share, not " + high);
@@ -127,8 +127,8 @@
 
     @Test
     void sharesStartInProportionToTheListedSizes() {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 7);
-        sidecar.list(ListKind.FULL, sized(1, 1), sized(2, 2), sized(3, 5));
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 7);
+        sidecar.updateList(ListKind.FULL, sized(1, 1), sized(2, 2), sized(3, 5));
         Map<Integer, Double> parts = draw(sidecar, DRAWS, Map.of());
         assertEquals(0.125, parts.get(1), CHANCE);
         assertEquals(0.25, parts.get(2), CHANCE);
@@ -137,8 +137,8 @@
 
     @Test
     void listsWithoutSizesStartEqual() {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 7);
-        sidecar.list(ListKind.FULL, sized(1, 0), sized(2, 0));
+        RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 7);
+        sidecar.updateList(ListKind.FULL, sized(1, 0), sized(2, 0));
         assertEquals(0.5, draw(sidecar, DRAWS, Map.of()).get(1), CHANCE);
     }
 
@@ -151,13 +151,13 @@
         // A fleet that grew left its new servers idle: members were replaced only when they left.
         int held = 0;
         for (int seed = 0; seed < 200; seed++) {
-            Sidecar sidecar = new Sidecar(Samples.safe(), seed);
-            sidecar.ready(20);
+            RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), seed);
+            sidecar.listReady(20);
             Balancer.Upstream[] grown = new Balancer.Upstream[20];
             for (int i = 0; i < 20; i++) {
-                grown[i] = Sidecar.upstream(21 + i, Status.READY, 0);
+                grown[i] = RuleCheckingSidecar.upstream(21 + i, Status.READY, 0);
             }
-            sidecar.list(ListKind.DELTA, grown);
+            sidecar.updateList(ListKind.DELTA, grown);
             held += (int) draw(sidecar, 300, Map.of()).keySet().stream()
                     .filter(id -> id > 20)
                     .count();
@@ -167,11 +167,11 @@
 
     @Test
     void theSubsetHasTenMembersAndADrainedOneGivesWayAtTheMeanShare() {
-        Sidecar sidecar = sidecar(14);
+        RuleCheckingSidecar sidecar = sidecar(14);
         Map<Integer, Double> before = draw(sidecar, DRAWS, Map.of());
         assertEquals(10, before.size());
         int drained = before.keySet().iterator().next();
-        sidecar.list(ListKind.DELTA, Sidecar.upstream(drained, Status.DRAINING, 0));
+        sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(drained, Status.DRAINING, 0));
         Map<Integer, Double> after = draw(sidecar, DRAWS, Map.of());
         assertEquals(10, after.size());
         assertFalse(after.containsKey(drained));
--- a/src/test/java/ivybank/queue/RankedQueuesTest.java
+++ b/src/test/java/ivybank/queue/RankedQueuesTest.java
@@ -10,7 +10,7 @@
 
 class RankedQueuesTest {
 
-    private static final double REPEAT_PART = 0.1;
+    private static final double RETRY_FRACTION = 0.1;
 
     private final RankedQueues<String> queues = new RankedQueues<>(2);
     private final List<String> offered = new ArrayList<>();
@@ -21,8 +21,8 @@
         queues.add(queues.queue(0, false), "new");
         queues.add(queues.queue(1, true), "repeat");
         queues.add(queues.queue(1, false), "worthy");
-        queues.setValue(0, 1, REPEAT_PART);
-        queues.setValue(1, 5, REPEAT_PART);
+        queues.setValue(0, 1, RETRY_FRACTION);
+        queues.setValue(1, 5, RETRY_FRACTION);
         queues.rank();
         queues.offer(offered::add);
         assertEquals(List.of("worthy", "new", "old", "repeat"), offered);
@@ -48,7 +48,7 @@
         queues.add(1, "c");
         queues.remove(1, "not there");
         queues.remove(0, "a");
-        queues.drop("b"::equals);
+        queues.removeIf("b"::equals);
         queues.offer(offered::add);
         assertEquals(List.of("c"), offered);
         assertTrue(queues.isEmpty());
--- a/src/test/java/ivybank/rehearsal/MutantsTest.java
+++ b/src/test/java/ivybank/rehearsal/MutantsTest.java
@@ -247,11 +247,11 @@
                     List.of("rule cold"),
                     List.of(new Edit(
                             "policy/LoadShiftingBalancer.java",
-                            "        Host host = list.at(random.nextDouble());\n"
-                                    + "        return random.nextDouble() < coldPart(nowMs, host, call) ? host : null;",
+                            "        Host host = list.memberAt(random.nextDouble());\n"
+                                    + "        return random.nextDouble() < coldLoadFraction(nowMs, host, call) ? host : null;",
                             "        Host host = members.stream().filter(each -> each.isCold(nowMs,"
                                     + " settings.contract())).findFirst().orElseThrow();\n"
-                                    + "        return coldPart(nowMs, host, call) > 0 ? host : null;"))),
+                                    + "        return coldLoadFraction(nowMs, host, call) > 0 ? host : null;"))),
             new Mutant(
                     "refuses what may have run",
                     Night.SPOILT,
--- a/src/test/java/ivybank/slowstart/ColdNodeRateLimiterTest.java
+++ b/src/test/java/ivybank/slowstart/ColdNodeRateLimiterTest.java
@@ -8,65 +8,65 @@
 
 class ColdNodeRateLimiterTest {
 
-    private static void carry(ColdNodeRateLimiter coldNodeRates, int node, int kind, double fromMs, double perS) {
+    private static void recordAnswers(ColdNodeRateLimiter limiter, int node, int kind, double fromMs, double perS) {
         for (double ms = 0; ms <= 1000; ms += 1000 / perS) {
-            coldNodeRates.answered(fromMs + ms, node, kind);
+            limiter.answered(fromMs + ms, node, kind);
         }
     }
 
     @Test
     void aColdNodeMayBeSentThePartThatIsWarmOfWhatOneOfItsKindCarries() {
-        ColdNodeRateLimiter coldNodeRates = new ColdNodeRateLimiter();
-        carry(coldNodeRates, 1, 0, 0, 40);
-        carry(coldNodeRates, 2, 1, 0, 10);
-        assertEquals(0.5 * 0.040, coldNodeRates.allowedPerMs(0, 0.5), 0.002);
-        assertEquals(0.5 * 0.010, coldNodeRates.allowedPerMs(1, 0.5), 0.002);
+        ColdNodeRateLimiter limiter = new ColdNodeRateLimiter();
+        recordAnswers(limiter, 1, 0, 0, 40);
+        recordAnswers(limiter, 2, 1, 0, 10);
+        assertEquals(0.5 * 0.040, limiter.allowedPerMs(0, 0.5), 0.002);
+        assertEquals(0.5 * 0.010, limiter.allowedPerMs(1, 0.5), 0.002);
     }
 
     @Test
     void aKindThatNobodyHasSeenIsTakenForTheWeakest() {
-        ColdNodeRateLimiter coldNodeRates = new ColdNodeRateLimiter();
-        assertEquals(0, coldNodeRates.allowedPerMs(7, 1), "nothing is known yet");
-        carry(coldNodeRates, 1, 0, 0, 40);
-        carry(coldNodeRates, 2, 1, 0, 10);
-        assertEquals(coldNodeRates.allowedPerMs(1, 1), coldNodeRates.allowedPerMs(7, 1));
+        ColdNodeRateLimiter limiter = new ColdNodeRateLimiter();
+        assertEquals(0, limiter.allowedPerMs(7, 1), "nothing is known yet");
+        recordAnswers(limiter, 1, 0, 0, 40);
+        recordAnswers(limiter, 2, 1, 0, 10);
+        assertEquals(limiter.allowedPerMs(1, 1), limiter.allowedPerMs(7, 1));
     }
 
     @Test
     void aSpanOfLittleTrafficHardlyLowersTheGuide() {
-        ColdNodeRateLimiter coldNodeRates = new ColdNodeRateLimiter();
-        carry(coldNodeRates, 1, 0, 0, 40);
-        double before = coldNodeRates.allowedPerMs(0, 1);
-        carry(coldNodeRates, 1, 0, 2000, 2);
-        assertTrue(coldNodeRates.allowedPerMs(0, 1) < before);
-        assertEquals(before, coldNodeRates.allowedPerMs(0, 1), 0.01 * before);
+        ColdNodeRateLimiter limiter = new ColdNodeRateLimiter();
+        recordAnswers(limiter, 1, 0, 0, 40);
+        double before = limiter.allowedPerMs(0, 1);
+        recordAnswers(limiter, 1, 0, 2000, 2);
+        assertTrue(limiter.allowedPerMs(0, 1) < before);
+        assertEquals(before, limiter.allowedPerMs(0, 1), 0.01 * before);
     }
 
     @Test
     void theBucketKeepsItsRateAndSavesNothingUp() {
         TokenBucket tokens = new TokenBucket();
-        assertFalse(tokens.has(0, 0.01), "nothing is given before any time has passed");
+        assertFalse(tokens.hasToken(0, 0.01), "nothing is given before any time has passed");
         int sent = 0;
         for (int ms = 0; ms <= 10_000; ms++) {
-            if (tokens.has(ms, 0.01)) {
+            if (tokens.hasToken(ms, 0.01)) {
                 tokens.take();
                 sent++;
             }
         }
         assertEquals(100, sent, 2);
-        tokens.has(100_000, 0.01);
+        tokens.hasToken(100_000, 0.01);
         tokens.take();
-        assertFalse(tokens.has(100_001, 0.01), "a pause of 90 s leaves room for one, not for 900");
+        assertFalse(tokens.hasToken(100_001, 0.01), "a pause of 90 s leaves room for one, not for 900");
     }
 
     @Test
     void whatWentThereOtherwiseIsPaidBackFirst() {
         TokenBucket tokens = new TokenBucket();
-        tokens.has(0, 0.01);
+        tokens.hasToken(0, 0.01);
         for (int i = 0; i < 3; i++) {
             tokens.take();
         }
-        assertFalse(tokens.has(399, 0.01));
-        assertTrue(tokens.has(401, 0.01));
+        assertFalse(tokens.hasToken(399, 0.01));
+        assertTrue(tokens.hasToken(401, 0.01));
     }
 }
--- a/src/test/java/ivybank/subsetting/SubsetSizeTest.java
+++ b/src/test/java/ivybank/subsetting/SubsetSizeTest.java
@@ -15,17 +15,17 @@
 
     /** Traffic that all nodes together would not be too many for. */
     SubsetSizeTest() {
-        subset.asked(0, 3000 * 1000);
+        subset.requestReceived(0, 3000 * 1000);
     }
 
     /** One whose clients ask for so much at quiet nodes, all the time, and that never finds room. */
-    private static SubsetSize without(double requestsInHand, int nodes, int sidecars) {
+    private static SubsetSize withFullMembers(double requestsInHand, int nodes, int sidecars) {
         SubsetSize subset = new SubsetSize(() -> sidecars);
-        subset.of(nodes);
+        subset.update(nodes);
         for (int ms = 0; ms < 20_000; ms += 100) {
-            subset.asked(ms, 100 * requestsInHand);
-            subset.offered(false);
-            subset.step(subset.of(nodes), nodes);
+            subset.requestReceived(ms, 100 * requestsInHand);
+            subset.memberOffered(false);
+            subset.step(subset.update(nodes), nodes);
             if (ms % 1000 == 0) {
                 subset.tick(false, nodes);
             }
@@ -35,29 +35,31 @@
 
     @Test
     void neitherGrowsNorStaysLargeWhileAttemptsGetNoAnswer() {
-        subset.added(1);
-        subset.reported(1, true, new double[] {0.1}, 0);
+        subset.memberAdded(1);
+        subset.reportReceived(1, true, new double[] {0.1}, 0);
         for (int attempt = 0; attempt < 20; attempt++) {
-            subset.reported(2, true, new double[0], 0);
+            subset.reportReceived(2, true, new double[0], 0);
         }
-        subset.offered(false);
+        subset.memberOffered(false);
         assertFalse(subset.step(10, NODES), "more neighbours of a jammed fleet jam it more");
-        subset.recall(40);
+        subset.restore(40);
         assertTrue(subset.tick(false, NODES));
         for (int attempt = 0; attempt < 200; attempt++) {
-            subset.reported(3, true, new double[] {0.1}, 0);
+            subset.reportReceived(3, true, new double[] {0.1}, 0);
         }
         int size = subset.size();
-        subset.offered(false);
+        subset.memberOffered(false);
         assertTrue(subset.step(size, NODES), "and grows again once they are answered");
     }
 
     @Test
     void oneOfLittleTrafficDoesNotGrowHoweverFullItsMembersAre() {
         assertEquals(
-                10, without(3, 60, 14).size(), "three in hand fit on ten nodes: what is full there is others' doing");
-        assertEquals(60, without(100, 60, 14).size(), "a hundred need all");
-        int some = without(20, 60, 14).size();
+                10,
+                withFullMembers(3, 60, 14).size(),
+                "three in hand fit on ten nodes: what is full there is others' doing");
+        assertEquals(60, withFullMembers(100, 60, 14).size(), "a hundred need all");
+        int some = withFullMembers(20, 60, 14).size();
         assertTrue(some >= 20 && some <= 35, "twenty, with room for chance: " + some);
     }
 
@@ -65,29 +67,29 @@
     void aHundredThatAreFullTogetherHaveNoMoreNeighboursThanTheirTrafficNeeds() {
         int pairs = 0;
         for (int sidecar = 0; sidecar < 100; sidecar++) {
-            pairs += without(sidecar == 0 ? 30 : 3, 60, 100).size();
+            pairs += withFullMembers(sidecar == 0 ? 30 : 3, 60, 100).size();
         }
         assertTrue(pairs <= 100 * 9 + 60, pairs + " pairs of 100 sidecars and 60 nodes; all of them are 6,000");
     }
 
     @Test
     void manySidecarsDrawFromFewerNodesEach() {
-        assertEquals(10, new SubsetSize(() -> 14).of(60));
-        assertEquals(8, new SubsetSize(() -> 60).of(60));
-        assertEquals(6, new SubsetSize(() -> 100).of(60));
-        assertEquals(10, new SubsetSize(() -> 100).of(200));
-        assertEquals(6, new SubsetSize(() -> 10_000).of(60), "fewer could not be compared");
-        assertEquals(3, new SubsetSize(() -> 10_000).of(3));
+        assertEquals(10, new SubsetSize(() -> 14).update(60));
+        assertEquals(8, new SubsetSize(() -> 60).update(60));
+        assertEquals(6, new SubsetSize(() -> 100).update(60));
+        assertEquals(10, new SubsetSize(() -> 100).update(200));
+        assertEquals(6, new SubsetSize(() -> 10_000).update(60), "fewer could not be compared");
+        assertEquals(3, new SubsetSize(() -> 10_000).update(3));
         SubsetSize one = new SubsetSize(() -> 100);
-        one.of(60);
-        assertEquals(10, one.of(200), "it follows the list while it has no more than usual");
+        one.update(60);
+        assertEquals(10, one.update(200), "it follows the list while it has no more than usual");
     }
 
     @Test
     void growthThatTrafficNoLongerAsksForIsGivenBack() {
-        SubsetSize subset = without(100, 60, 14);
+        SubsetSize subset = withFullMembers(100, 60, 14);
         for (int ms = 20_000; ms < 60_000; ms += 100) {
-            subset.asked(ms, 300);
+            subset.requestReceived(ms, 300);
             if (ms % 1000 == 0) {
                 subset.tick(false, 60);
             }
@@ -100,7 +102,7 @@
         int steps = 0;
         while (subset.size() < NODES) {
             int before = subset.size();
-            subset.offered(false);
+            subset.memberOffered(false);
             assertTrue(subset.step(before, NODES));
             assertTrue(subset.size() <= Math.ceil(1.1 * before), "at most a tenth more in a step");
             steps++;
@@ -110,7 +112,7 @@
 
     @Test
     void staysWhereItIsWhileMembersHaveRoom() {
-        subset.offered(false);
+        subset.memberOffered(false);
         subset.step(10, NODES);
         int size = subset.size();
         assertFalse(subset.step(size, NODES));
@@ -119,28 +121,28 @@
 
     @Test
     void growsNoFurtherThanThereAreNodes() {
-        subset.offered(false);
+        subset.memberOffered(false);
         assertFalse(subset.step(4, 4), "with few nodes all are drawn from already");
-        subset.offered(false);
+        subset.memberOffered(false);
         assertTrue(subset.step(10, 11));
         assertEquals(11, subset.size());
     }
 
     @Test
     void waitsUntilThoseAskedForAreThere() {
-        subset.offered(false);
+        subset.memberOffered(false);
         assertFalse(subset.step(9, NODES), "one has just left: its successor comes first");
     }
 
     @Test
     void comesBackDownOnceThereWasRoomToSpareForAWhile() {
-        subset.recall(20);
+        subset.restore(20);
         for (int tick = 0; tick < 10; tick++) {
             assertFalse(subset.tick(true, NODES));
         }
         assertTrue(subset.tick(true, NODES));
         assertEquals(19, subset.size());
-        subset.offered(false);
+        subset.memberOffered(false);
         assertFalse(subset.tick(true, NODES), "the calm counts anew after a request without room");
         assertFalse(subset.tick(false, NODES), "and no member goes that is needed");
     }
@@ -150,60 +152,60 @@
         for (int tick = 0; tick < 100; tick++) {
             subset.tick(true, NODES);
         }
-        assertEquals(SubsetSize.USUAL, subset.size());
+        assertEquals(SubsetSize.DEFAULT_SIZE, subset.size());
     }
 
     /** One that sends to new members, which report {@code busy} a few steps later; returns the steps until all nodes are drawn from. */
-    private int stepsToAll(double busy, int longest) {
-        for (int step = 0; step < longest; step++) {
+    private int stepsUntilAllNodes(double cpu, int maxSteps) {
+        for (int step = 0; step < maxSteps; step++) {
             if (subset.size() == NODES) {
                 return step;
             }
-            subset.offered(false);
+            subset.memberOffered(false);
             int before = subset.size();
             if (subset.step(before, NODES)) {
                 for (int node = before; node < subset.size(); node++) {
-                    subset.added(node);
+                    subset.memberAdded(node);
                 }
             } else if (step % 5 == 4) {
-                report(0, before, busy);
+                reportAll(0, before, cpu);
             }
         }
-        return longest;
+        return maxSteps;
     }
 
-    private void report(int from, int to, double busy) {
+    private void reportAll(int from, int to, double cpu) {
         for (int node = from; node < to; node++) {
-            subset.reported(node, true, new double[] {busy}, 0);
+            subset.reportReceived(node, true, new double[] {cpu}, 0);
         }
     }
 
-    private void meetTheFirst(double busy) {
-        for (int node = 0; node < SubsetSize.USUAL; node++) {
-            subset.added(node);
+    private void reportFromFirstMembers(double cpu) {
+        for (int node = 0; node < SubsetSize.DEFAULT_SIZE; node++) {
+            subset.memberAdded(node);
         }
-        report(0, SubsetSize.USUAL, busy);
+        reportAll(0, SubsetSize.DEFAULT_SIZE, cpu);
     }
 
     @Test
     void growsByHalfOnceThoseAddedLastWereFoundIdle() {
-        meetTheFirst(1);
-        report(0, 1, 1);
+        reportFromFirstMembers(1);
+        reportAll(0, 1, 1);
         for (int sample = 0;
                 sample < 3;
                 sample++) { // its own members are busy by its own doing: what counts is who is met anew
-            subset.added(100 + sample);
-            subset.reported(100 + sample, true, new double[] {0.1}, 0);
+            subset.memberAdded(100 + sample);
+            subset.reportReceived(100 + sample, true, new double[] {0.1}, 0);
         }
-        assertTrue(stepsToAll(0.1, 60) <= 30, "idle nodes are found within three seconds");
+        assertTrue(stepsUntilAllNodes(0.1, 60) <= 30, "idle nodes are found within three seconds");
     }
 
     @Test
     void growsOneByOneWhereThoseAddedLastWereFoundBusy() {
-        meetTheFirst(1);
-        meetTheFirst(1);
-        stepsToAll(1, 110);
-        assertTrue(subset.size() <= SubsetSize.USUAL + 10, "ten seconds added " + subset.size());
+        reportFromFirstMembers(1);
+        reportFromFirstMembers(1);
+        stepsUntilAllNodes(1, 110);
+        assertTrue(subset.size() <= SubsetSize.DEFAULT_SIZE + 10, "ten seconds added " + subset.size());
     }
 
     @Test
@@ -211,23 +213,23 @@
         for (int sidecars : new int[] {3, 14, 56, 224}) {
             int pairs = 0;
             for (int sidecar = 0; sidecar < sidecars; sidecar++) {
-                SubsetSizeTest one = new SubsetSizeTest();
-                one.meetTheFirst(1);
-                one.meetTheFirst(1);
-                one.stepsToAll(1, 110);
-                pairs += one.subset.size();
+                SubsetSizeTest other = new SubsetSizeTest();
+                other.reportFromFirstMembers(1);
+                other.reportFromFirstMembers(1);
+                other.stepsUntilAllNodes(1, 110);
+                pairs += other.subset.size();
             }
             assertTrue(
-                    pairs <= 2 * SubsetSize.USUAL * sidecars,
+                    pairs <= 2 * SubsetSize.DEFAULT_SIZE * sidecars,
                     sidecars + " sidecars have " + pairs + " pairs after 10 s");
         }
     }
 
     @Test
     void comesBackDownWhereAllNodesAreDrawnFromAndOverloaded() {
-        subset.recall(NODES);
+        subset.restore(NODES);
         for (int answer = 0; answer < 500; answer++) {
-            subset.reported(answer % NODES, true, new double[] {1.1}, 0);
+            subset.reportReceived(answer % NODES, true, new double[] {1.1}, 0);
         }
         assertTrue(subset.tick(false, NODES));
         assertEquals(57, subset.size());
@@ -235,29 +237,29 @@
 
     @Test
     void whatColdNodesReportTellsNothing() {
-        subset.recall(NODES);
+        subset.restore(NODES);
         for (int answer = 0; answer < 500; answer++) {
-            subset.reported(answer % NODES, false, new double[] {1.1}, 0);
+            subset.reportReceived(answer % NODES, false, new double[] {1.1}, 0);
         }
         assertFalse(subset.tick(false, NODES));
     }
 
     @Test
     void nodesThatComeAndGoWithoutAReportAreNotKeptForEver() {
-        for (int node = 0; node < 3 * SubsetSize.MOST_AWAITED; node++) {
-            subset.added(node);
+        for (int node = 0; node < 3 * SubsetSize.MAX_AWAITED_REPORTS; node++) {
+            subset.memberAdded(node);
         }
-        assertTrue(subset.awaited() <= SubsetSize.MOST_AWAITED, subset.awaited() + " are kept");
+        assertTrue(subset.awaitedReports() <= SubsetSize.MAX_AWAITED_REPORTS, subset.awaitedReports() + " are kept");
     }
 
     @Test
     void whenThereAreMoreSidecarsThanWereToldOneDrawsFromFewerNodes() {
         sidecars = 14;
-        assertEquals(10, subset.of(NODES));
+        assertEquals(10, subset.update(NODES));
         assertFalse(subset.tick(true, NODES));
         sidecars = 100;
         assertTrue(subset.tick(true, NODES), "the size is to be asked for anew");
-        assertEquals(6, subset.of(NODES));
-        assertEquals(8 * 10 / 100.0, subset.leastWindow(NODES), 1e-9);
+        assertEquals(6, subset.update(NODES));
+        assertEquals(8 * 10 / 100.0, subset.minWindow(NODES), 1e-9);
     }
 }
