--- a/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
+++ b/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
@@ -19,7 +19,7 @@
     private double size;
     private double nextSendMs;
     private int inFlight;
-    private int elsewhere;
+    private int siblingInFlight;
 
     /** Sets the size, as for a new node. */
     public void reset(double newSize) {
@@ -57,12 +57,12 @@
     }
 
     /** Sets how many attempts another process of the sidecar has in flight at the node. */
-    public void elsewhere(int attempts) {
-        elsewhere = Math.max(0, attempts);
+    public void setSiblingInFlight(int attempts) {
+        siblingInFlight = Math.max(0, attempts);
     }
 
     public boolean isFull(double nowMs) {
-        return nowMs < nextSendMs || inFlight + elsewhere >= Math.max(1, size);
+        return nowMs < nextSendMs || inFlight + siblingInFlight >= Math.max(1, size);
     }
 
     /**
@@ -79,11 +79,11 @@
             // Otherwise a limit that had grown on quick answers takes a dozen slow ones to shrink, and a node with
             // little
             // traffic does not get a dozen.
-            size = Math.min(size, Math.max(1, inFlight + elsewhere + 1));
+            size = Math.min(size, Math.max(1, inFlight + siblingInFlight + 1));
             change = Math.max(-MAX_REDUCTION, change) * Math.min(1, size);
             size = Math.max(minSize > 1 ? minSize : MIN_PART_FOR_SLOW_NODE * minSize, size + change);
             nextSendMs = Math.max(nextSendMs, nowMs + typicalMs * Math.max(0, 1 / Math.max(size, MIN_RATE) - 1));
-        } else if (inFlight + elsewhere + 1 >= size / 2) {
+        } else if (inFlight + siblingInFlight + 1 >= size / 2) {
             size += change; // not set to 1 at once: one quick answer does not show that a congested node has recovered
         }
     }
--- a/src/main/java/ivybank/concurrency/LatencyTracker.java
+++ b/src/main/java/ivybank/concurrency/LatencyTracker.java
@@ -1,7 +1,7 @@
 package ivybank.concurrency;
 
-import ivybank.handover.Learned;
-import ivybank.handover.Trust;
+import ivybank.handover.Confidence;
+import ivybank.handover.LearnedState;
 
 /** Tracks the running median latency of similar requests, and its value while the nodes are quiet; in milliseconds. */
 public class LatencyTracker {
@@ -52,16 +52,16 @@
         return value < floor ? (floor + value) / 2 : floor * (1 + decay);
     }
 
-    public Learned.OfClass learned() {
-        return new Learned.OfClass(typicalMs, quietMs, answers);
+    public LearnedState.ClassState learned() {
+        return new LearnedState.ClassState(typicalMs, quietMs, answers);
     }
 
     /** Takes over the statistics of another process, weighted by a confidence between 0 and 1. */
-    public void restore(Learned.OfClass other, double confidence) {
-        typicalMs = Trust.blend(typicalMs, other.typicalMs(), confidence);
+    public void restore(LearnedState.ClassState other, double confidence) {
+        typicalMs = Confidence.blend(typicalMs, other.typicalMs(), confidence);
         quietMs = other.quietMs() * confidence >= typicalMs / 2
                 ? other.quietMs()
-                : 0; // a value far below the typical latency would mislead
+                : 0; // a doubtful value far below the typical latency would mislead
         answers = (int) (other.answers() * confidence);
     }
 }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -11,8 +11,8 @@
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
-import ivybank.handover.Learned;
-import ivybank.handover.Memory;
+import ivybank.handover.HandoverSnapshot;
+import ivybank.handover.LearnedState;
 import ivybank.invariants.InvariantGuard;
 import ivybank.policy.Balancer;
 import ivybank.policy.Balancer.AttemptEnd;
@@ -138,18 +138,19 @@
      * Takes over what another process of this sidecar has learned, as far as it is believed: of the nodes that are listed
      * now, and of those that discovery names with its first whole list.
      */
-    void recall(Learned<String> learned, double trust) {
+    void recall(LearnedState<String> learned, double trust) {
         inheritance.take(learned, trust);
     }
 
     /** What this process leaves for others of its sidecar. */
-    Memory memory(int descriptors) {
-        Learned<String> learned = balancer.learned().named(directory::host);
-        return new Memory(
-                clock.machineMs(),
+    HandoverSnapshot memory(int descriptors) {
+        LearnedState<String> learned = balancer.learned().withKeys(directory::host);
+        return new HandoverSnapshot(
+                clock.monotonicMs(),
                 unanswered,
                 descriptors,
-                learned.withStarts((host, startedMs) -> startedMs <= 0 ? startedMs : directory.statedStartMs(host)));
+                learned.withStarts(
+                        (host, startedMs) -> startedMs <= 0 ? startedMs : directory.startByDiscoveryClockMs(host)));
     }
 
     /** Tells what another process has out by node, and how many requests it has in hand. */
@@ -162,7 +163,7 @@
             }
         });
         double part = inHand == 0 ? 1 : (unanswered + 1.0) / (unanswered + 1.0 + inHand);
-        events.tell(() -> balancer.elsewhere(numbered, part));
+        events.tell(() -> balancer.setSiblingLoad(numbered, part));
     }
 
     /** Takes over which nodes operators have taken out, by their ids, with when they did. */
@@ -174,7 +175,7 @@
     }
 
     boolean knows(String node) {
-        return directory.knows(node);
+        return directory.contains(node);
     }
 
     @Override
@@ -192,17 +193,17 @@
     }
 
     @Override
-    public int request(ClientRequest request, Consumer<Answer> client) {
-        boolean arriving = request.arriving();
+    public int handle(ClientRequest request, Consumer<Answer> client) {
+        boolean arriving = request.isIncomplete();
         double deadlineMs =
                 arriving ? Exchange.NO_DEADLINE_YET : RequestDeadline.atMs(request, clock.nowMs(), stallDetector);
-        double earliestMs = Math.min(request.earliestArrivalMs(), sendStalls.earliestMs(clock.nowMs()));
+        double earliestMs = Math.min(request.earliestArrivalMs(), sendStalls.earliestArrivalMs(clock.nowMs()));
         Exchange exchange = new Exchange(++lastId, request, deadlineMs, earliestMs, client);
         exchanges.put(exchange.id, exchange);
         openIds.add(request.callId());
         unanswered++;
         counters.taken++;
-        tally.taken();
+        tally.requestTaken();
         // The module goes by when it was read: less time than others have is its sign of a repeat.
         double leftMs = arriving ? request.budgetMs() : request.arrivedMs() + request.budgetMs() - clock.nowMs();
         if (!arriving) {
@@ -213,7 +214,7 @@
                 request.requestClass(),
                 request.tenant(),
                 Math.max(0, leftMs - RequestDeadline.reserveMs(request)),
-                request.repeat(),
+                request.clientRetry(),
                 arriving);
         events.tell(() -> {
             deciding = exchange.id;
@@ -227,7 +228,7 @@
     }
 
     @Override
-    public void arrived(int id) {
+    public void bodyCompleted(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.over && exchange.isArriving()) {
             double budgetMs = exchange.request.budgetMs();
@@ -245,12 +246,12 @@
     }
 
     @Override
-    public boolean isOpen(String callId) {
+    public boolean isInFlight(String callId) {
         return openIds.contains(callId);
     }
 
     @Override
-    public void clientLeft(int id) {
+    public void cancel(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.over) {
             counters.left++;
@@ -303,7 +304,7 @@
             served();
             double endedMs = clock.nowMs();
             answer(exchange, Answer.served(ending.contentType(), ending.body()));
-            tally.took(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
+            tally.stageCompleted(Stage.ANSWER_WRITTEN, clock.nowMs() - endedMs);
         }
         Node node = exchange.attempts.get(number).node;
         events.tell(() -> balancer.attemptEnded(
@@ -321,21 +322,21 @@
 
     private void tally(Node node, Outcome outcome) {
         if (outcome == Outcome.REJECTED) {
-            tally.turnedAway(node.host);
+            tally.attemptRejected(node.host);
         } else if (outcome == Outcome.TIMEOUT) {
-            tally.timedOut(node.host);
+            tally.attemptTimedOut(node.host);
         }
     }
 
     private void served() {
         counters.served++;
-        tally.served();
+        tally.requestServed();
     }
 
     @Override
     public void began(Exchange exchange, int number, double sentMs, Answer answer) {
         if (!exchange.isUnanswered()) {
-            answer.rest().leave();
+            answer.remainingBody().abandon();
             return;
         }
         exchange.passingOn = number;
@@ -353,7 +354,7 @@
 
     private void close(Exchange exchange) {
         exchange.over = true;
-        tally.answered();
+        tally.requestCompleted();
         exchange.stopBackstop();
         unanswered--;
         openIds.remove(exchange.request.callId());
--- a/src/main/java/ivybank/policy/Host.java
+++ b/src/main/java/ivybank/policy/Host.java
@@ -2,8 +2,8 @@
 
 import ivybank.concurrency.ConcurrencyLimit;
 import ivybank.concurrency.Mean;
-import ivybank.handover.Learned;
-import ivybank.handover.Trust;
+import ivybank.handover.Confidence;
+import ivybank.handover.LearnedState;
 import ivybank.slowstart.TokenBucket;
 import java.util.ArrayDeque;
 
@@ -65,8 +65,8 @@
         return warmFraction(nowMs, contract) < 1;
     }
 
-    Learned.OfNode learned(boolean member) {
-        return new Learned.OfNode(
+    LearnedState.NodeState learned(boolean member) {
+        return new LearnedState.NodeState(
                 listed.startedMs(),
                 rank,
                 member ? share : 0,
@@ -79,11 +79,11 @@
      * Takes over what another process has learned of the node. The rank holds across restarts of the node; the rest only if the
      * node has not restarted since.
      */
-    void restore(Learned.OfNode learned, double confidence) {
+    void restore(LearnedState.NodeState learned, double confidence) {
         rank = learned == null ? rank : learned.rank();
-        if (learned != null && learned.share() > 0 && Trust.sameLife(learned, listed.startedMs())) {
-            share = Trust.blend(share, learned.share(), confidence);
-            concurrency.reset(Trust.blend(concurrency.size(), learned.window(), confidence));
+        if (learned != null && learned.share() > 0 && Confidence.isSameIncarnation(learned, listed.startedMs())) {
+            share = Confidence.blend(share, learned.share(), confidence);
+            concurrency.reset(Confidence.blend(concurrency.size(), learned.window(), confidence));
         }
     }
 
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -1,7 +1,7 @@
 package ivybank.policy;
 
-import ivybank.handover.Learned;
-import ivybank.handover.Trust;
+import ivybank.handover.Confidence;
+import ivybank.handover.LearnedState;
 import ivybank.queue.RankedQueues;
 import ivybank.slowstart.ColdNodeRateLimiter;
 import ivybank.subsetting.SubsetSize;
@@ -401,10 +401,10 @@
     }
 
     @Override
-    public Learned<Integer> learned() {
-        Map<Integer, Learned.OfNode> nodes = new HashMap<>();
+    public LearnedState<Integer> learned() {
+        Map<Integer, LearnedState.NodeState> nodes = new HashMap<>();
         list.hosts.forEach(host -> nodes.put(host.id, host.learned(members.contains(host))));
-        return new Learned<>(
+        return new LearnedState<>(
                 admittedFraction,
                 retryBudget,
                 classes.stream().map(ClassStatistics::learned).toList(),
@@ -413,26 +413,27 @@
     }
 
     @Override
-    public void recall(Learned<Integer> other, double trust) {
+    public void recall(LearnedState<Integer> other, double confidence) {
         if (other.classes().size() == classes.size()) {
-            admittedFraction = Trust.blend(admittedFraction, other.admitted(), trust);
-            retryBudget = Trust.blend(retryBudget, Math.min(MAX_RETRY_BUDGET, other.extra()), trust);
-            classes.forEach(statistics -> statistics.restore(other.classes().get(classes.indexOf(statistics)), trust));
-            coldNodeRates.restore(other.carried(), trust);
+            admittedFraction = Confidence.blend(admittedFraction, other.admittedShare(), confidence);
+            retryBudget = Confidence.blend(retryBudget, Math.min(MAX_RETRY_BUDGET, other.extraAttempts()), confidence);
+            classes.forEach(
+                    statistics -> statistics.restore(other.classes().get(classes.indexOf(statistics)), confidence));
+            coldNodeRates.restore(other.maxRateByKind(), confidence);
         }
         list.hosts.forEach(
                 host -> host.restore(other.nodes().get(host.id), 0)); // the ranks first, as they decide who is a member
         subset.restore((int)
                 other.nodes().values().stream().filter(node -> node.share() > 0).count());
         fillSubset();
-        members.forEach(host -> host.restore(other.nodes().get(host.id), trust));
+        members.forEach(host -> host.restore(other.nodes().get(host.id), confidence));
         list.normaliseShares();
     }
 
     @Override
-    public void elsewhere(Map<Integer, Integer> out, double part) {
-        list.hosts.forEach(host -> host.concurrency.elsewhere(out.getOrDefault(host.id, 0)));
-        coldNodeRates.setShare(part);
+    public void setSiblingLoad(Map<Integer, Integer> inFlight, double share) {
+        list.hosts.forEach(host -> host.concurrency.setSiblingInFlight(inFlight.getOrDefault(host.id, 0)));
+        coldNodeRates.setShare(share);
     }
 
     /** Learns from the outcome and, if the request is still open, sends another attempt or abandons it. */
--- a/src/main/java/ivybank/promises/PromiseKeeper.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -9,8 +9,8 @@
 import ivybank.policy.Balancer.Effect;
 import ivybank.policy.Balancer.RequestClass;
 import ivybank.policy.Balancer.Settings;
-import ivybank.promises.Promises.Decision;
-import ivybank.promises.Promises.State;
+import ivybank.promises.PromiseTable.Decision;
+import ivybank.promises.PromiseTable.State;
 import ivybank.store.Disk;
 import ivybank.store.Limits;
 import ivybank.store.Store;
@@ -33,7 +33,7 @@
  * That one may run is on the disk before its first byte goes to a node, its answer before the client gets its first byte.
  * All of it runs on the event loop; the store's thread only hands back to it.
  */
-public final class PromiseKeeper implements RequestHandler, AutoCloseable {
+public final class PromiseRequestHandler implements RequestHandler, AutoCloseable {
 
     /** When a promise that is still being written is given up, before the client's time is over. */
     private static final double MARGIN_MS = 10;
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public boolean recorded() {
+        public boolean isRecorded() {
             return recorded;
         }
 
@@ -117,18 +117,18 @@
                         List<Runnable> told = List.copyOf(recorded ? onRecord : onFailure);
                         onRecord.clear();
                         onFailure.clear();
-                        told.forEach(PromiseKeeper.this::run);
+                        told.forEach(PromiseRequestHandler.this::run);
                     }));
         }
 
         @Override
-        public void sending() {
+        public void attemptStarted() {
             out++;
             promises.sent(identity);
         }
 
         @Override
-        public void ended(boolean proved) {
+        public void attemptEnded(boolean proved) {
             out -= proved ? 1 : 0;
         }
 
@@ -165,7 +165,7 @@
     private final Log log;
     private final double retryAfterMs;
     private final int longestEntry;
-    private final Promises promises;
+    private final PromiseTable promises;
     private final Store store;
     private final Map<String, Promise> inHand = new HashMap<>();
     private final Map<Integer, Promise> byNumber = new HashMap<>();
@@ -183,7 +183,7 @@
      *
      * @throws IOException in one line, if the store can't be used as it is
      */
-    public PromiseKeeper(
+    public PromiseRequestHandler(
             PromiseSettings settings,
             Settings module,
             Disk disk,
@@ -200,7 +200,7 @@
         this.log = log;
         this.retryAfterMs = module.limits().maxRetryAfterMs();
         this.longestEntry = limits.value();
-        this.promises = new Promises(settings.keepMs(), settings.most(), this::forget);
+        this.promises = new PromiseTable(settings.keepMs(), settings.most(), this::forget);
         List<Found> found = new ArrayList<>();
         this.store = Store.open(
                 disk,
@@ -220,7 +220,7 @@
         // The wall clock may have been stepped since they were written: what is owed is owed for a whole time more.
         found.forEach(each -> promises.recovered(each.identity, each.state, nowMs, nowMs));
         promises.trim(nowMs);
-        log.line("store: " + store.report().line());
+        log.line("store: " + store.report().summary());
         log.line("promises: " + promises.figures().acked() + " acked and "
                 + promises.figures().inDoubt() + " in doubt from before");
     }
@@ -237,7 +237,7 @@
     private record Found(String identity, State state, double atMs) {}
 
     /** Who takes what may go on. */
-    public void driver(RequestHandler handler) {
+    public void setDispatcher(RequestHandler handler) {
         driver = handler;
     }
 
@@ -267,15 +267,15 @@
     }
 
     @Override
-    public boolean isOpen(String callId) {
-        return driver.isOpen(callId);
+    public boolean isInFlight(String callId) {
+        return driver.isInFlight(callId);
     }
 
     @Override
-    public int request(ClientRequest request, Consumer<Answer> client) {
+    public int handle(ClientRequest request, Consumer<Answer> client) {
         RequestClass spec = classes.get(request.requestClass());
         if (spec.effect() == Effect.SAFE) {
-            return driver.request(request, client);
+            return driver.handle(request, client);
         }
         String named = request.identity();
         // One without a name is never recognised again: what is promised of it is only that this sidecar sends it once.
@@ -288,7 +288,8 @@
             case JOIN -> {
                 return join(inHand.get(identity), request, client);
             }
-            case IN_DOUBT -> client.accept(Answer.told(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
+            case IN_DOUBT ->
+                client.accept(Answer.failure(IN_DOUBT, "it may have run, and is not sent again: in doubt"));
             case NO_ROOM -> client.accept(Answer.refused(retryAfterMs));
             default -> {
                 return take(identity, request, client);
@@ -309,7 +310,7 @@
         Waiter first = new Waiter(client);
         promise.waiters.add(first);
         double deadlineMs = request.arrivedMs() + request.budgetMs();
-        int number = driver.request(request.with(promise), answer -> answered(promise, answer, deadlineMs));
+        int number = driver.handle(request.withSendRecord(promise), answer -> answered(promise, answer, deadlineMs));
         promise.number = number;
         first.number = number;
         if (inHand.get(identity) == promise) {
@@ -365,7 +366,7 @@
                 promise,
                 settings.letThrough()
                         ? answer
-                        : Answer.told(FAILED, "it has run, and its answer could not be recorded: in doubt"));
+                        : Answer.failure(FAILED, "it has run, and its answer could not be recorded: in doubt"));
     }
 
     /** It has ended without an answer that is on record. */
@@ -386,7 +387,7 @@
     private void bound(Waiter waiter, double deadlineMs) {
         waiter.patience = after(
                 deadlineMs - MARGIN_MS - clock.nowMs(),
-                () -> waiter.tell(Answer.told(OUT_OF_TIME, "it is in hand, and its answer is not there yet")));
+                () -> waiter.tell(Answer.failure(OUT_OF_TIME, "it is in hand, and its answer is not there yet")));
     }
 
     private int join(Promise promise, ClientRequest request, Consumer<Answer> client) {
@@ -405,7 +406,7 @@
                 key(identity),
                 (value, failure) -> loop.execute(() -> waiter.tell(
                         value == null
-                                ? Answer.told(
+                                ? Answer.failure(
                                         FAILED,
                                         "it has run, and its answer can't be read: "
                                                 + (failure == null ? "it was just forgotten" : failure.getMessage()))
@@ -417,29 +418,29 @@
     }
 
     @Override
-    public void arrived(int number) {
-        driver.arrived(number); // long ones are not on record and keep their numbers
+    public void bodyCompleted(int number) {
+        driver.bodyCompleted(number); // long ones are not on record and keep their numbers
     }
 
     @Override
-    public void clientLeft(int number) {
+    public void cancel(int number) {
         Promise promise = byNumber.remove(number);
         if (promise == null) {
-            driver.clientLeft(number);
+            driver.cancel(number);
             return;
         }
         promise.waiters.stream().filter(waiter -> waiter.number == number).forEach(Waiter::leave);
         if (promise.waiters.stream().allMatch(waiter -> waiter.over)
                 && !promise.settled) { // else another one waits for the same
-            driver.clientLeft(promise.number);
+            driver.cancel(promise.number);
             promise.settled = true;
             end(promise, promise.out == 0);
         }
     }
 
     /** A line of figures. */
-    public String report() {
-        Promises.Figures figures = promises.figures();
+    public String statusLine() {
+        PromiseTable.Figures figures = promises.figures();
         Store.Figures disk = store.figures();
         return "promises: " + figures.inHand() + " in hand, " + figures.acked() + " acked, " + figures.inDoubt()
                 + " in doubt; "
--- a/src/main/java/ivybank/upstream/UpstreamConnection.java
+++ b/src/main/java/ivybank/upstream/UpstreamConnection.java
@@ -29,7 +29,7 @@
 import ivybank.exchange.ClientRequest;
 import ivybank.policy.Balancer.Outcome;
 import ivybank.tally.Stage;
-import ivybank.transport.SteadySocketChannel;
+import ivybank.transport.RetryingSocketChannel;
 import ivybank.upstream.UpstreamAttempt.Ending;
 import ivybank.upstream.UpstreamSocketChannel.UnreadInput;
 import java.io.ByteArrayOutputStream;
@@ -136,7 +136,7 @@
     void verify() {
         boolean waits = attempt != null || channel != null && !channel.isActive();
         if (waits && channel instanceof UpstreamSocketChannel socket) {
-            socket.verify();
+            socket.pollAndRearm();
         }
     }
 
@@ -167,17 +167,17 @@
             headers.set(IDEMPOTENCY_KEY, request.idempotencyKey());
         }
         if (request.method().equals(HttpMethod.POST)) {
-            if (request.length() >= 0) {
-                headers.set(HttpHeaderNames.CONTENT_LENGTH, request.length());
+            if (request.contentLength() >= 0) {
+                headers.set(HttpHeaderNames.CONTENT_LENGTH, request.contentLength());
             } else {
                 headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             }
         }
-        if (request.rest() != null) {
+        if (request.remainingBody() != null) {
             channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), headers));
             writePart(Unpooled.wrappedBuffer(request.body()));
-            upload = request.rest();
-            upload.take(new Upload(next));
+            upload = request.remainingBody();
+            upload.attach(new Upload(next));
             return;
         }
         DefaultFullHttpRequest message = new DefaultFullHttpRequest(
@@ -203,7 +203,7 @@
             written = whole;
             if (!whole) {
                 finish(Ending.of(Outcome.CONNECT_FAILED), false);
-            } else if (sent.request.rest() != null) {
+            } else if (sent.request.remainingBody() != null) {
                 sent.startTimer(channel.eventLoop());
             }
         }
@@ -218,7 +218,7 @@
         }
 
         @Override
-        public void part(ByteBuf part) {
+        public void write(ByteBuf part) {
             if (attempt != sent) {
                 part.release();
                 return;
@@ -251,7 +251,7 @@
 
     /** Guards a request's client against a node that reads no further: such an attempt has not run, and ends. */
     private void writable(boolean more) {
-        upload.wanted(more);
+        upload.setDemand(more);
         if (stalled != null) {
             stalled.cancel(false);
         }
@@ -298,7 +298,7 @@
         if (!written && response.status().code() == SERVED) {
             pool.spoilt(node, "came before its request had left");
             finish(Ending.of(Outcome.CONNECT_FAILED), false); // a node begins with the last byte, so it has not run
-        } else if (!Framing.isClear(response) || !interim && !bounded) {
+        } else if (!Framing.isUnambiguous(response) || !interim && !bounded) {
             spoilt("doesn't tell where it ends");
         } else if (Framing.isTooLong(response)) {
             spoilt("is too long");
@@ -326,14 +326,14 @@
         if (rest != null) {
             passed += part.readableBytes();
             partMs = pool.nowMs();
-            if (passed > Framing.MAX_BODY) {
+            if (passed > Framing.MAX_BODY_BYTES) {
                 spoilt("is too long");
             } else {
-                rest.part(part.retain());
+                rest.write(part.retain());
             }
             return;
         }
-        if (body.size() + part.readableBytes() > Framing.MOST_WHOLE) {
+        if (body.size() + part.readableBytes() > Framing.MAX_BUFFERED_BODY_BYTES) {
             passOn(part);
             return;
         }
@@ -348,25 +348,25 @@
     private void passOn(ByteBuf part) {
         if (outcome() != Outcome.OK) {
             finish(Ending.of(outcome()), false); // what it says is of no interest
-        } else if (attempt.request.record() != null) {
+        } else if (attempt.request.sendRecord() != null) {
             spoilt("is too long to be put on record");
         } else {
             passed = (long) body.size() + part.readableBytes();
             rest = new BodyPipe(new BodyPipe.Source() {
                 @Override
-                public void wanted(boolean more) {
+                public void setDemand(boolean more) {
                     channel.config().setAutoRead(more);
                 }
 
                 @Override
-                public void left() {
+                public void abandoned() {
                     close();
                 }
             });
-            rest.part(part.retain());
+            rest.write(part.retain());
             partMs = pool.nowMs();
             watchStall(attempt);
-            attempt.begin(Answer.begun(
+            attempt.begin(Answer.streamed(
                     head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                     body.toByteArray(),
                     rest,
@@ -421,7 +421,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (ctx.channel() instanceof SteadySocketChannel socket && !socket.takeHasRead()) {
+        if (ctx.channel() instanceof RetryingSocketChannel socket && !socket.getAndClearHasRead()) {
             ctx.fireChannelReadComplete(); // a read that failed, or found nothing where the selector was not asked
             return;
         }
@@ -461,7 +461,7 @@
             rest = null;
         }
         if (upload != null) {
-            upload.leave();
+            upload.abandon();
             upload = null;
         }
         head = null;
--- a/src/test/java/ivybank/concurrency/ConcurrencyLimitTest.java
+++ b/src/test/java/ivybank/concurrency/ConcurrencyLimitTest.java
@@ -13,11 +13,11 @@
         ConcurrencyLimit limit = new ConcurrencyLimit();
         limit.reset(4);
         limit.sent(0, 100);
-        limit.elsewhere(2);
+        limit.setSiblingInFlight(2);
         assertFalse(limit.isFull(0));
         limit.sent(0, 100);
         assertTrue(limit.isFull(0));
-        limit.elsewhere(0);
+        limit.setSiblingInFlight(0);
         assertFalse(limit.isFull(0), "the other has ended");
     }
 
--- a/src/test/java/ivybank/rehearsal/MutantsTest.java
+++ b/src/test/java/ivybank/rehearsal/MutantsTest.java
@@ -197,7 +197,7 @@
                                     "if (spec.effect() != null) {"),
                             // The guard would keep it from being sent.
                             new Edit(
-                                    "invariants/Repeat.java",
+                                    "invariants/RepeatRisk.java",
                                     "if (spec.effect() == Effect.SAFE) {",
                                     "if (spec.effect() != Effect.UNSAFE) {"))),
             new Mutant(
@@ -215,7 +215,7 @@
                     List.of("rule departed"),
                     List.of(new Edit(
                             "client/ClientConnection.java",
-                            "            current = null;\n            driver.clientLeft(currentId);",
+                            "            current = null;\n            driver.cancel(currentId);",
                             "            current = null;"))),
             new Mutant(
                     "exits with an answer owed",
@@ -279,8 +279,8 @@
                     List.of("connections were opened"),
                     List.of(new Edit(
                             "upstream/UpstreamPool.java",
-                            "keepsNoneIdle || !isOfUse(connection)",
-                            "keepsNoneIdle || isOfUse(connection)"))),
+                            "idleDisabled || !isOfUse(connection)",
+                            "idleDisabled || isOfUse(connection)"))),
             new Mutant(
                     "leaks memory",
                     Night.CALM,
