--- a/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
+++ b/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
@@ -74,11 +74,9 @@
     public void answered(double nowMs, double latencyMs, double quietMs, double typicalMs, double minSize) {
         double change = Math.min(MAX_GROWTH, MAX_QUIET_RATIO * quietMs / latencyMs - 1);
         if (change < 0) {
-            // The node was slow with this many attempts in flight, so a larger limit that was not reached does not
-            // count.
-            // Otherwise a limit that had grown on quick answers takes a dozen slow ones to shrink, and a node with
-            // little
-            // traffic does not get a dozen.
+            // The node was slow with this many attempts in flight, so a larger limit that was not reached
+            // does not count. Otherwise a limit that had grown on quick answers takes a dozen slow ones to
+            // shrink, and a node with little traffic does not get a dozen.
             size = Math.min(size, Math.max(1, inFlight + siblingInFlight + 1));
             change = Math.max(-MAX_REDUCTION, change) * Math.min(1, size);
             size = Math.max(minSize > 1 ? minSize : MIN_PART_FOR_SLOW_NODE * minSize, size + change);
--- a/src/main/java/ivybank/concurrency/LatencyTracker.java
+++ b/src/main/java/ivybank/concurrency/LatencyTracker.java
@@ -31,8 +31,8 @@
 
     /** Moves the running median towards one latency, in steps that shrink to {@code minStep} as answers accumulate. */
     public void moveTypical(double latencyMs, double minStep) {
-        // The step stays below 1: a first timeout below the typical latency would set that to zero and every share to
-        // NaN.
+        // The step stays below 1: a first timeout below the typical latency
+        // would set that to zero and every share to NaN.
         double step = Math.max(minStep, 1.0 / (2 + answers));
         typicalMs *= latencyMs > typicalMs ? 1 + step : 1 - step;
     }
--- a/src/main/java/ivybank/policy/Call.java
+++ b/src/main/java/ivybank/policy/Call.java
@@ -78,9 +78,8 @@
                 case ZONE -> attempt.sentTo.zone() == host.listed.zone();
                 case CELL -> attempt.sentTo.cell() == host.listed.cell();
             };
-            // The window starts at the first attempt, even if another was sent meanwhile and the first then proved not
-            // to
-            // have run.
+            // The window starts at the first attempt, even if another was sent
+            // meanwhile and the first then proved not to have run.
             if (attempt.mayHaveRun() && (!sameGroup || nowMs - attempts.get(0).sentMs >= spec.windowMs())) {
                 return false;
             }
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -486,8 +486,8 @@
             recordHealth(nowMs, host, false);
         }
         host.latencies.add(latencyMs / statistics.typicalMs());
-        // The limit prevents queues at nodes and keeps load off congested ones; a member that has reached it is
-        // excluded.
+        // The limit prevents queues at nodes and keeps load off congested
+        // ones; a member that has reached it is excluded.
         host.concurrency.answered(
                 nowMs, latencyMs, statistics.quietMs(), statistics.typicalMs(), subset.minWindow(list.hosts.size()));
         if (outcome != Outcome.OK) {
--- a/src/main/java/ivybank/settings/package-info.java
+++ b/src/main/java/ivybank/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the settings. */
+/** Parses the settings of the decision module. */
 package ivybank.settings;
--- a/src/test/java/ivybank/concurrency/ConcurrencyLimitTest.java
+++ b/src/test/java/ivybank/concurrency/ConcurrencyLimitTest.java
@@ -9,7 +9,7 @@
 class ConcurrencyLimitTest {
 
     @Test
-    void twoProcessesFillOneLimitTogether() {
+    void limitAppliesToBothProcessesTogether() {
         ConcurrencyLimit limit = new ConcurrencyLimit();
         limit.reset(4);
         limit.sent(0, 100);
@@ -18,30 +18,30 @@
         limit.sent(0, 100);
         assertTrue(limit.isFull(0));
         limit.setSiblingInFlight(0);
-        assertFalse(limit.isFull(0), "the other has ended");
+        assertFalse(limit.isFull(0), "the attempts of the other process have ended");
     }
 
     @Test
-    void itGrowsWhileItIsUsedAndAnswersAreQuickAndShrinksNoFurtherThanItsLeast() {
+    void growsWithQuickAnswersWhileInUseAndShrinksToItsMinimum() {
         ConcurrencyLimit limit = new ConcurrencyLimit();
         limit.reset(4);
         limit.answered(0, 100, 100, 100, 1);
-        assertEquals(4, limit.size(), "nothing was out");
+        assertEquals(4, limit.size(), "no attempt was in flight");
         limit.sent(0, 100);
         limit.answered(0, 100, 100, 100, 1);
         assertEquals(4.25, limit.size());
         for (int i = 0; i < 50; i++) {
             limit.answered(0, 1000, 100, 100, 2);
         }
-        assertEquals(2, limit.size(), "one of few sidecars, which learns quickly, keeps its least");
+        assertEquals(2, limit.size(), "one of few sidecars, which learns quickly, keeps its minimum");
         for (int i = 0; i < 50; i++) {
             limit.answered(0, 1000, 100, 100, 0.8);
         }
-        assertEquals(0.2, limit.size(), 1e-9, "one of many a quarter of it");
+        assertEquals(0.2, limit.size(), 1e-9, "one of many sidecars keeps a quarter of it");
     }
 
     @Test
-    void aSlowAnswerLeavesNoMoreRoomThanWasUsed() {
+    void slowAnswerReducesTheLimitToWhatWasInUse() {
         ConcurrencyLimit limit = new ConcurrencyLimit();
         limit.reset(8);
         for (int i = 0; i < 2; i++) {
@@ -49,10 +49,10 @@
         }
         limit.ended();
         limit.answered(0, 200, 100, 100, 0.1);
-        assertEquals(2 - 0.35, limit.size(), 1e-9, "two were out, and that was too many");
+        assertEquals(2 - 0.35, limit.size(), 1e-9, "two in flight were too many");
     }
 
-    /** Sends whenever it may for so long; each attempt is answered after its latency. Returns how many went. */
+    /** Sends whenever the limit allows, with each attempt answered after the latency; returns the number of attempts. */
     private static int sentWithin(ConcurrencyLimit limit, int durationMs, int latencyMs, int quietMs, double minSize) {
         int sent = 0;
         int answerDueMs = -1;
@@ -72,21 +72,23 @@
     }
 
     @Test
-    void aHundredLimitsOfAJammedNodeLeaveItAlmostAlone() {
+    void hundredSidecarsKeepFewAttemptsAtACongestedNode() {
         int sent = 0;
         for (int sidecar = 0; sidecar < 100; sidecar++) {
             ConcurrencyLimit limit = new ConcurrencyLimit();
             limit.reset(1);
-            sentWithin(limit, 10_000, 1200, 300, 0.08); // what it takes while it is jammed
+            sentWithin(limit, 10_000, 1200, 300, 0.08); // until the limit has adapted to the congestion
             sent += sentWithin(limit, 40_000, 1200, 300, 0.08);
         }
-        double out = sent * 1200 / 40_000.0;
-        assertTrue(out <= 0.25 * 8 * 1.5 * 1200 / 300, out + " of a hundred sidecars are out there at once");
-        assertTrue(sent >= 20, "and still it is heard of: " + sent);
+        double inFlight = sent * 1200 / 40_000.0;
+        assertTrue(
+                inFlight <= 0.25 * 8 * 1.5 * 1200 / 300,
+                inFlight + " attempts of a hundred sidecars are in flight at once");
+        assertTrue(sent >= 20, "the node is still sent attempts: " + sent);
     }
 
     @Test
-    void oneQuickAnswerIsNoReasonToGoBackToOneAtAnyTime() {
+    void oneQuickAnswerDoesNotRestoreALimitOfOne() {
         ConcurrencyLimit limit = new ConcurrencyLimit();
         limit.reset(0.2);
         limit.sent(0, 100);
@@ -95,16 +97,16 @@
         assertEquals(0.45, limit.size(), 1e-9);
         limit.sent(600, 100);
         limit.ended();
-        assertTrue(limit.isFull(700), "a pace from one attempt to the next, not only after a slow answer");
+        assertTrue(limit.isFull(700), "the pause follows each attempt, not only a slow answer");
         assertFalse(limit.isFull(900));
     }
 
     @Test
-    void aFailureFreesItsPlaceNoSoonerThanAnAnswerWould() {
+    void failureHoldsItsSlotAsLongAsAnAnswer() {
         ConcurrencyLimit limit = new ConcurrencyLimit();
         limit.reset(2);
         int sent = 0;
-        for (int ms = 0; ms < 1000; ms++) { // fails in the same millisecond
+        for (int ms = 0; ms < 1000; ms++) { // each attempt fails in the same millisecond
             if (!limit.isFull(ms)) {
                 limit.sent(ms, 100);
                 limit.ended();
@@ -112,8 +114,8 @@
                 sent++;
             }
         }
-        assertEquals(20, sent, 1, "two places, for 100 ms each");
+        assertEquals(20, sent, 1, "two slots, for 100 ms each");
         limit.failed(2000, 500, 100);
-        assertFalse(limit.isFull(2000), "a late failure has held its place already");
+        assertFalse(limit.isFull(2000), "a late failure has held its slot long enough");
     }
 }
--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a module that takes over begins with. */
+/** Tests the state that a balancer takes over from another process of its sidecar. */
 class HandoverTest {
 
-    /** Serves at this pace for a while, upstream 1 four times as slowly as the others. */
-    private static void play(RuleCheckingSidecar sidecar, double ms) {
+    /** Serves requests for a while, at upstream 1 four times as slowly as at the others. */
+    private static void sendRequests(RuleCheckingSidecar sidecar, double ms) {
         for (double until = sidecar.nowMs + ms; sidecar.nowMs < until; ) {
             for (int i = 0; i < 6; i++) {
                 sidecar.request(0);
@@ -29,11 +29,11 @@
         }
     }
 
-    private static RuleCheckingSidecar old() {
-        RuleCheckingSidecar old = new RuleCheckingSidecar(Samples.safe(), 5);
-        old.listReady(14);
-        play(old, 6000);
-        return old;
+    private static RuleCheckingSidecar previous() {
+        RuleCheckingSidecar previous = new RuleCheckingSidecar(Samples.safe(), 5);
+        previous.listReady(14);
+        sendRequests(previous, 6000);
+        return previous;
     }
 
     private static double share(RuleCheckingSidecar sidecar, int upstream) {
@@ -41,89 +41,89 @@
     }
 
     @Test
-    void theNextProcessBeginsWithTheSharesTheWindowsAndTheSubsetOfTheOneBefore() {
-        RuleCheckingSidecar old = old();
-        LearnedState<Integer> learned = old.balancer.learned();
+    void sharesLimitsAndSubsetAreTakenOver() {
+        RuleCheckingSidecar previous = previous();
+        LearnedState<Integer> learned = previous.balancer.learned();
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
-        next.nowMs = old.nowMs;
+        next.nowMs = previous.nowMs;
         next.listReady(14);
         next.balancer.recall(learned, 1);
-        LearnedState<Integer> taken = next.balancer.learned();
+        LearnedState<Integer> restored = next.balancer.learned();
         learned.nodes().forEach((id, node) -> {
-            assertEquals(node.share(), taken.nodes().get(id).share(), 1e-9, "upstream " + id);
+            assertEquals(node.share(), restored.nodes().get(id).share(), 1e-9, "upstream " + id);
             assertEquals(
                     node.window(),
-                    node.share() > 0 ? taken.nodes().get(id).window() : node.window(),
+                    node.share() > 0 ? restored.nodes().get(id).window() : node.window(),
                     1e-9,
                     "upstream " + id);
         });
-        assertEquals(learned.classes(), taken.classes());
-        assertEquals(learned.maxRateByKind(), taken.maxRateByKind());
+        assertEquals(learned.classes(), restored.classes());
+        assertEquals(learned.maxRateByKind(), restored.maxRateByKind());
     }
 
     @Test
-    void whatIsOldIsBelievedInPartAndSharesStillAddUp() {
-        RuleCheckingSidecar old = old();
+    void oldStateIsTakenOverInPartAndSharesAddUpToOne() {
+        RuleCheckingSidecar previous = previous();
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.listReady(14);
-        next.balancer.recall(old.balancer.learned(), 0.5);
+        next.balancer.recall(previous.balancer.learned(), 0.5);
         double sum = 0;
         for (int id = 1; id <= 14; id++) {
             sum += share(next, id);
-            boolean drawn = share(old, id) > 0;
-            assertEquals(drawn, share(next, id) > 0, "the same are drawn from");
+            boolean drawn = share(previous, id) > 0;
+            assertEquals(drawn, share(next, id) > 0, "the subset is the same");
         }
         assertEquals(1, sum, 1e-9);
     }
 
     @Test
-    void aServerThatHasRestartedIsNotTakenForWhatItWas() {
-        RuleCheckingSidecar old = old();
+    void stateOfARestartedNodeIsNotTakenOver() {
+        RuleCheckingSidecar previous = previous();
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
-        next.nowMs = old.nowMs;
+        next.nowMs = previous.nowMs;
         next.listReady(14);
         double fresh = 8 * 14 / 10.0;
-        int restarted = old.balancer.learned().nodes().entrySet().stream()
+        int restarted = previous.balancer.learned().nodes().entrySet().stream()
                 .filter(node -> node.getValue().window() > fresh + 2)
                 .mapToInt(Map.Entry::getKey)
                 .findFirst()
                 .orElseThrow();
         next.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(restarted, Status.READY, next.nowMs));
-        next.balancer.recall(old.balancer.learned(), 1);
-        assertEquals(fresh, next.balancer.learned().nodes().get(restarted).window(), "a fresh one");
+        next.balancer.recall(previous.balancer.learned(), 1);
+        assertEquals(fresh, next.balancer.learned().nodes().get(restarted).window(), "the limit of a new node");
     }
 
     @Test
-    void whatIsRememberedOfServersThatAreNotListedAndOfOtherClassesIsLeftOut() {
-        RuleCheckingSidecar old = old();
+    void stateOfUnlistedNodesAndOtherClassesIsIgnored() {
+        RuleCheckingSidecar previous = previous();
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.listReady(3);
-        LearnedState<Integer> learned = old.balancer.learned();
+        LearnedState<Integer> learned = previous.balancer.learned();
         next.balancer.recall(new LearnedState<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
         assertEquals(3, next.balancer.learned().nodes().size());
         assertEquals(1, next.balancer.learned().admittedShare(), "of other classes");
-        play(next, 1000);
+        sendRequests(next, 1000);
         assertEquals(List.of(), next.violations);
     }
 
     @Test
-    void whatAnotherProcessHasOutAtAServerTakesItsRoom() {
-        RuleCheckingSidecar old = old();
+    void attemptsOfAnotherProcessCountTowardsTheLimit() {
+        RuleCheckingSidecar previous = previous();
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
-        next.nowMs = old.nowMs;
+        next.nowMs = previous.nowMs;
         next.listReady(14);
-        next.balancer.recall(old.balancer.learned(), 1);
+        next.balancer.recall(previous.balancer.learned(), 1);
         double windows = 0;
-        for (LearnedState.NodeState node : old.balancer.learned().nodes().values()) {
+        for (LearnedState.NodeState node : previous.balancer.learned().nodes().values()) {
             windows += node.share() > 0 ? Math.max(1, node.window()) : 0;
         }
         Map<Integer, Integer> all = new java.util.HashMap<>();
-        old.balancer.learned().nodes().forEach((id, node) -> all.put(id, (int) Math.ceil(node.window())));
+        previous.balancer.learned().nodes().forEach((id, node) -> all.put(id, (int) Math.ceil(node.window())));
         next.balancer.setSiblingLoad(all, 0.1);
         for (int i = 0; i < windows; i++) {
             next.request(0);
         }
-        assertTrue(next.sent.isEmpty(), "sent " + next.sent.size() + " beyond the room that the other one fills");
+        assertTrue(next.sent.isEmpty(), "sent " + next.sent.size() + " although the other process uses all capacity");
         next.balancer.setSiblingLoad(Map.of(), 1);
         next.advance(500);
         for (int i = 0; i < windows; i++) {
--- a/src/test/java/ivybank/policy/DeparturesTest.java
+++ b/src/test/java/ivybank/policy/LoadShiftingBalancerTest.java
@@ -17,28 +17,29 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each departure from the ordinary path: that it acts on its condition, and that it ends. */
-class DeparturesTest {
+/** Tests each mechanism beside the weighted random draw: it acts under its condition, and it ends. */
+class LoadShiftingBalancerTest {
 
     private static final Limits LIMITS = new Limits(4, true, true, false, 0);
 
-    /** What an upstream does with an attempt: its outcome once the time has come, or null to stay silent. */
-    private interface Fleet {
-        Outcome answer(RuleCheckingSidecar.SentAttempt attempt, double ageMs);
+    /** How upstreams behave: returns the outcome of an attempt of this age, or null while there is none. */
+    private interface UpstreamBehaviour {
+        Outcome outcome(RuleCheckingSidecar.SentAttempt attempt, double ageMs);
     }
 
-    private static final Fleet SOUND = (attempt, ageMs) -> ageMs >= 50 ? Outcome.OK : null;
+    private static final UpstreamBehaviour HEALTHY = (attempt, ageMs) -> ageMs >= 50 ? Outcome.OK : null;
 
-    /** Plays requests at a steady pace, the classes in turn. */
-    private static void play(RuleCheckingSidecar sidecar, double ms, double everyMs, Fleet fleet) {
+    /** Sends requests at a steady rate, alternating between the classes. */
+    private static void sendRequests(
+            RuleCheckingSidecar sidecar, double ms, double intervalMs, UpstreamBehaviour behaviour) {
         int classes = sidecar.settings.classes().size();
         double until = sidecar.nowMs + ms;
         for (int i = 0; sidecar.nowMs < until; i++) {
             sidecar.request(i % classes);
-            for (double passed = 0; passed < everyMs; passed += Samples.TICK_MS) {
+            for (double passed = 0; passed < intervalMs; passed += Samples.TICK_MS) {
                 sidecar.advance(Samples.TICK_MS);
                 for (RuleCheckingSidecar.SentAttempt attempt : sidecar.inFlight()) {
-                    Outcome outcome = fleet.answer(attempt, sidecar.nowMs - attempt.sentMs);
+                    Outcome outcome = behaviour.outcome(attempt, sidecar.nowMs - attempt.sentMs);
                     if (outcome != null) {
                         sidecar.endAttempt(attempt, outcome);
                     }
@@ -47,8 +48,8 @@
         }
     }
 
-    private static Fleet one(int upstream, Fleet its) {
-        return (attempt, ageMs) -> (attempt.upstream == upstream ? its : SOUND).answer(attempt, ageMs);
+    private static UpstreamBehaviour withFault(int upstream, UpstreamBehaviour faulty) {
+        return (attempt, ageMs) -> (attempt.upstream == upstream ? faulty : HEALTHY).outcome(attempt, ageMs);
     }
 
     private static long sentTo(RuleCheckingSidecar sidecar, int upstream, double sinceMs) {
@@ -60,93 +61,96 @@
     private static RuleCheckingSidecar sidecar(int upstreams) {
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
         sidecar.listReady(upstreams);
-        play(sidecar, 5000, 10, SOUND);
+        sendRequests(sidecar, 5000, 10, HEALTHY);
         return sidecar;
     }
 
-    /** Eight sidecars have room for one attempt each at a slow server. */
+    /** Returns one of eight sidecars, which may each have one attempt in flight at a slow node. */
     private static RuleCheckingSidecar oneOfEight(int upstreams) {
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                 Samples.settings(8, LIMITS, false, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1)), 5);
         sidecar.listReady(upstreams);
-        play(sidecar, 5000, 10, SOUND);
+        sendRequests(sidecar, 5000, 10, HEALTHY);
         return sidecar;
     }
 
-    private static void assertSetAsideAndBack(Fleet trouble) {
+    private static void assertSetAsideAndReturns(UpstreamBehaviour faulty) {
         RuleCheckingSidecar sidecar = sidecar(5);
-        play(sidecar, 1000, 10, one(2, trouble));
+        sendRequests(sidecar, 1000, 10, withFault(2, faulty));
         double later = sidecar.nowMs;
-        play(sidecar, 8000, 10, one(2, trouble));
-        assertTrue(sentTo(sidecar, 2, later) <= 12, "only trials: " + sentTo(sidecar, 2, later));
+        sendRequests(sidecar, 8000, 10, withFault(2, faulty));
+        assertTrue(sentTo(sidecar, 2, later) <= 12, "only trials are sent: " + sentTo(sidecar, 2, later));
         assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 is set aside")));
-        play(sidecar, 15_000, 10, SOUND);
+        sendRequests(sidecar, 15_000, 10, HEALTHY);
         long last = sentTo(sidecar, 2, sidecar.nowMs - 5000);
-        assertTrue(last > 10, "back in the draw: " + last);
+        assertTrue(last > 10, "drawn again: " + last);
         assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 answers again")));
         assertTrue(sidecar.served > 0.95 * (sidecar.served + sidecar.refused + sidecar.failed));
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void aSilentServerIsSetAsideAndComesBack() {
-        assertSetAsideAndBack((attempt, ageMs) -> null);
+    void silentNodeIsSetAsideAndReturns() {
+        assertSetAsideAndReturns((attempt, ageMs) -> null);
     }
 
     @Test
-    void aServerThatFailsAtOnceDrawsNoLoad() {
-        assertSetAsideAndBack((attempt, ageMs) -> Outcome.ERROR);
+    void nodeThatFailsAtOnceIsSetAsideAndReturns() {
+        assertSetAsideAndReturns((attempt, ageMs) -> Outcome.ERROR);
     }
 
     @Test
-    void aServerOutOfReachIsSetAsideAndComesBack() {
-        assertSetAsideAndBack((attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null);
+    void unreachableNodeIsSetAsideAndReturns() {
+        assertSetAsideAndReturns((attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null);
     }
 
     @Test
-    void aServerThatRefusesIsSetAsideAndComesBack() {
-        assertSetAsideAndBack((attempt, ageMs) -> Outcome.REJECTED);
+    void rejectingNodeIsSetAsideAndReturns() {
+        assertSetAsideAndReturns((attempt, ageMs) -> Outcome.REJECTED);
     }
 
     @Test
-    void unsafeRequestsAreNotRiskedOnTrials() {
+    void unsafeRequestsAreNotUsedAsTrials() {
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                 Samples.settings(
                         Samples.requestClass(Effect.UNSAFE, Group.ALL, 1),
                         Samples.requestClass(Effect.SAFE, Group.ALL, 1)),
                 5);
         sidecar.listReady(5);
-        play(sidecar, 5000, 10, SOUND);
-        play(sidecar, 2000, 10, one(2, (attempt, ageMs) -> null));
+        sendRequests(sidecar, 5000, 10, HEALTHY);
+        sendRequests(sidecar, 2000, 10, withFault(2, (attempt, ageMs) -> null));
         double later = sidecar.nowMs;
-        play(sidecar, 5000, 10, one(2, (attempt, ageMs) -> null));
+        sendRequests(sidecar, 5000, 10, withFault(2, (attempt, ageMs) -> null));
         assertTrue(
                 sidecar.sent.stream()
                         .filter(attempt -> attempt.upstream == 2 && attempt.sentMs >= later)
                         .noneMatch(attempt -> attempt.request % 2 == 1),
-                "requests of odd number are unsafe");
-        assertTrue(sentTo(sidecar, 2, later) > 0, "safe ones try it");
+                "requests with odd ids are unsafe");
+        assertTrue(sentTo(sidecar, 2, later) > 0, "safe requests serve as trials");
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void whereNothingIsSafeAServerSetAsideStillComesBack() {
-        // Only safe requests were trials: without such a class a server once set aside stayed out for good.
+    void nodeSetAsideReturnsWithoutASafeClass() {
+        // Only safe requests serve as trials. Without a safe class, a node
+        // that was set aside must not stay so for good.
         RuleCheckingSidecar sidecar =
                 new RuleCheckingSidecar(Samples.settings(Samples.requestClass(Effect.UNSAFE, Group.ALL, 1)), 5);
         sidecar.listReady(5);
-        play(sidecar, 5000, 10, SOUND);
-        play(sidecar, 2000, 10, one(2, (attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null));
+        sendRequests(sidecar, 5000, 10, HEALTHY);
+        sendRequests(sidecar, 2000, 10, withFault(2, (attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null));
         double later = sidecar.nowMs;
-        play(sidecar, 3000, 10, one(2, (attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null));
-        assertTrue(sentTo(sidecar, 2, later) <= 10, "out for the most part");
-        play(sidecar, 8000, 10, SOUND);
-        assertTrue(sentTo(sidecar, 2, sidecar.nowMs - 3000) > 20, "back: " + sentTo(sidecar, 2, sidecar.nowMs - 3000));
+        sendRequests(sidecar, 3000, 10, withFault(2, (attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null));
+        assertTrue(sentTo(sidecar, 2, later) <= 10, "mostly not drawn");
+        sendRequests(sidecar, 8000, 10, HEALTHY);
+        assertTrue(
+                sentTo(sidecar, 2, sidecar.nowMs - 3000) > 20,
+                "drawn again: " + sentTo(sidecar, 2, sidecar.nowMs - 3000));
         assertEquals(List.of(), sidecar.violations);
     }
 
-    /** Settings of sidecars that are told by probes what servers hold. */
-    private static RuleCheckingSidecar probing(double price) {
+    /** Returns a sidecar that may probe nodes for the requests that they are working on. */
+    private static RuleCheckingSidecar probing(double probeCost) {
         Settings plain = Samples.settings(Samples.requestClass(Effect.UNSAFE, Group.ALL, 1));
         Settings settings = new Settings(
                 plain.classes(),
@@ -159,18 +163,18 @@
                 List.of("waiting", "active"),
                 new Limits(4, true, true, true, 0),
                 plain.contract(),
-                new Balancer.Goal(1, 0, 0, price));
+                new Balancer.Goal(1, 0, 0, probeCost));
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, 5);
         sidecar.listReady(8);
         return sidecar;
     }
 
     @Test
-    void aRequestGoesToTheProbedMemberThatHoldsLeast() {
+    void requestGoesToTheLeastLoadedProbedMember() {
         RuleCheckingSidecar sidecar = probing(0.002);
         for (int round = 0; round < 20; round++) {
             int request = sidecar.request(0);
-            assertTrue(sidecar.attemptsOf(request).isEmpty(), "it waits for the probes");
+            assertTrue(sidecar.attemptsOf(request).isEmpty(), "the request waits for the probes");
             List<Integer> probed = List.copyOf(sidecar.probed);
             sidecar.probed.clear();
             assertEquals(5, probed.stream().distinct().count());
@@ -184,8 +188,8 @@
     }
 
     @Test
-    void aRequestIsNotSentWhereProbesLeaveItNoTime() {
-        // All members held more than could be served within the aim, and were sent ever more.
+    void requestIsNotSentToMembersTooLoadedToServeItInTime() {
+        // Guards against sending more requests to members that already have more than they can serve within the aim.
         RuleCheckingSidecar sidecar = probing(0.002);
         int request = sidecar.request(0);
         List.copyOf(sidecar.probed)
@@ -197,16 +201,16 @@
     }
 
     @Test
-    void probesThatAreNotAnsweredHoldARequestForAControlTickAtMost() {
+    void unansweredProbesDelayARequestByAControlIntervalAtMost() {
         RuleCheckingSidecar sidecar = probing(0.002);
         int request = sidecar.request(0);
-        sidecar.advance(130); // two control ticks of a sixteenth of the aim
+        sidecar.advance(130); // two control intervals, each a sixteenth of the aim
         assertEquals(1, sidecar.attemptsOf(request).size());
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void dearProbesAreNotSent() {
+    void expensiveProbesAreNotSent() {
         RuleCheckingSidecar sidecar = probing(0.05);
         int request = sidecar.request(0);
         assertEquals(1, sidecar.attemptsOf(request).size());
@@ -214,11 +218,11 @@
     }
 
     @Test
-    void whenMostFailTheyAreStillTried() {
+    void nodesAreStillUsedWhenMostFail() {
         RuleCheckingSidecar sidecar = sidecar(5);
-        play(sidecar, 10_000, 20, (attempt, ageMs) -> Outcome.ERROR);
+        sendRequests(sidecar, 10_000, 20, (attempt, ageMs) -> Outcome.ERROR);
         double from = sidecar.nowMs;
-        play(sidecar, 3000, 20, SOUND);
+        sendRequests(sidecar, 3000, 20, HEALTHY);
         assertTrue(sidecar.sent.stream()
                         .filter(attempt -> attempt.sentMs >= from && attempt.outcome == Outcome.OK)
                         .count()
@@ -227,7 +231,7 @@
     }
 
     @Test
-    void aStuckAttemptIsCopiedOnlyWhereAllowed() {
+    void stalledAttemptIsHedgedOnlyWhereAllowed() {
         for (boolean copies : new boolean[] {true, false}) {
             RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                     Samples.settings(
@@ -238,9 +242,9 @@
                             Samples.requestClass(Effect.SAFE, Group.ALL, 1)),
                     5);
             sidecar.listReady(5);
-            play(sidecar, 5000, 10, SOUND);
+            sendRequests(sidecar, 5000, 10, HEALTHY);
             double from = sidecar.nowMs;
-            play(sidecar, 2000, 10, one(2, (attempt, ageMs) -> null));
+            sendRequests(sidecar, 2000, 10, withFault(2, (attempt, ageMs) -> null));
             boolean copied = sidecar.sent.stream()
                     .anyMatch(attempt -> attempt.sentMs >= from && attempt.number > 0 && attempt.sentMs < from + 500);
             assertEquals(copies, copied);
@@ -249,37 +253,37 @@
     }
 
     @Test
-    void aSparseSidecarCopiesNothing() {
-        // At two requests a second a long request looks stuck; its copy only cost work.
+    void sidecarWithLittleTrafficSendsNoHedges() {
+        // At two requests a second a long request looks stalled; a second copy of it only costs work.
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
         sidecar.listReady(5);
-        play(sidecar, 20_000, 500, SOUND);
+        sendRequests(sidecar, 20_000, 500, HEALTHY);
         double from = sidecar.nowMs;
-        play(sidecar, 20_000, 500, one(2, (attempt, ageMs) -> ageMs >= 800 ? Outcome.OK : null));
+        sendRequests(sidecar, 20_000, 500, withFault(2, (attempt, ageMs) -> ageMs >= 800 ? Outcome.OK : null));
         assertTrue(sentTo(sidecar, 2, from) > 0);
-        assertTrue(sidecar.sent.stream().allMatch(attempt -> attempt.number == 0), "no copies");
+        assertTrue(sidecar.sent.stream().allMatch(attempt -> attempt.number == 0), "no second copies");
     }
 
     @Test
-    void slowServersGetFewerAttemptsAtATimeAndRecover() {
+    void concurrencyLimitsOfSlowNodesShrinkAndRecover() {
         RuleCheckingSidecar sidecar = oneOfEight(5);
-        play(sidecar, 10_000, 10, (attempt, ageMs) -> ageMs >= 400 ? Outcome.OK : null);
+        sendRequests(sidecar, 10_000, 10, (attempt, ageMs) -> ageMs >= 400 ? Outcome.OK : null);
         assertTrue(
                 sidecar.inFlight().size() <= 10,
-                "few out at slow servers: " + sidecar.inFlight().size());
+                "few attempts in flight at slow nodes: " + sidecar.inFlight().size());
         assertTrue(sidecar.refused > 0);
-        play(sidecar, 20_000, 10, SOUND);
+        sendRequests(sidecar, 20_000, 10, HEALTHY);
         int refused = sidecar.refused;
-        play(sidecar, 5000, 10, SOUND);
+        sendRequests(sidecar, 5000, 10, HEALTHY);
         assertEquals(refused, sidecar.refused);
         assertTrue(sidecar.logs.stream().anyMatch(line -> line.matches("given up within .*ROOM=\\d+.*")));
     }
 
     @Test
-    void overloadShedsRepeatsFirst() {
+    void overloadShedsClientRetriesFirst() {
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
         sidecar.listReady(2);
-        play(sidecar, 5000, 20, SOUND);
+        sendRequests(sidecar, 5000, 20, HEALTHY);
         List<Integer> first = new ArrayList<>();
         List<Integer> repeats = new ArrayList<>();
         for (int i = 0; i < 1500; i++) {
@@ -290,53 +294,54 @@
             sidecar.advance(20);
             List<RuleCheckingSidecar.SentAttempt> out = sidecar.inFlight();
             for (RuleCheckingSidecar.SentAttempt attempt :
-                    out.subList(0, Math.min(3, out.size()))) { // three of the six that came
+                    out.subList(0, Math.min(3, out.size()))) { // half of the six that arrived
                 sidecar.endAttempt(attempt, Outcome.OK);
             }
         }
         assertTrue(
-                part(sidecar, first) > 2 * part(sidecar, repeats),
-                part(sidecar, first) + ", " + part(sidecar, repeats));
+                servedFraction(sidecar, first) > 2 * servedFraction(sidecar, repeats),
+                servedFraction(sidecar, first) + ", " + servedFraction(sidecar, repeats));
     }
 
     @Test
-    void aSparseSidecarShedsTheLeastWorthyWhenAttemptsAreLateAndAdmitsAllAgain() {
-        // With two requests a second no window ever fills; only the lateness of all attempts shows a jam.
+    void sidecarWithLittleTrafficShedsTheLowestValueWhenAttemptsAreLateAndRecovers() {
+        // With two requests a second no concurrency limit is reached; only the
+        // lateness of all attempts shows the overload.
         Settings settings = Samples.settings(
                 Samples.requestClass(Effect.SAFE, Group.ALL, 1), Samples.requestClass(Effect.SAFE, Group.ALL, 5));
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, 5);
         sidecar.listReady(10);
-        play(sidecar, 10_000, 500, SOUND);
+        sendRequests(sidecar, 10_000, 500, HEALTHY);
         int before = sidecar.refused;
         assertEquals(0, before);
-        Fleet jammed = (attempt, ageMs) -> ageMs >= 900 ? Outcome.OK : null;
-        play(sidecar, 15_000, 500, jammed);
+        UpstreamBehaviour overloaded = (attempt, ageMs) -> ageMs >= 900 ? Outcome.OK : null;
+        sendRequests(sidecar, 15_000, 500, overloaded);
         double from = sidecar.nowMs;
-        play(sidecar, 30_000, 500, jammed);
+        sendRequests(sidecar, 30_000, 500, overloaded);
         int[] sent = new int[2];
         sidecar.sent.stream()
                 .filter(attempt -> attempt.sentMs > from && attempt.number == 0)
                 .forEach(attempt -> sent[(attempt.request + 1) % 2]++);
         assertTrue(sent[0] + sent[1] < 30, "of 60 admitted: " + (sent[0] + sent[1]));
         assertTrue(sent[1] >= sent[0], sent[1] + " and " + sent[0]);
-        play(sidecar, 25_000, 500, SOUND);
+        sendRequests(sidecar, 25_000, 500, HEALTHY);
         int refused = sidecar.refused;
-        play(sidecar, 10_000, 500, SOUND);
+        sendRequests(sidecar, 10_000, 500, HEALTHY);
         assertEquals(refused, sidecar.refused, "all admitted again");
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void aFleetThatIsSlowForGoodIsUsedAgainInBoundedTime() {
+    void permanentlySlowFleetIsUsedAgainInBoundedTime() {
         RuleCheckingSidecar sidecar = sidecar(5);
-        Fleet slow = (attempt, ageMs) -> ageMs >= 200 ? Outcome.OK : null;
-        play(sidecar, 60_000, 20, slow);
+        UpstreamBehaviour slow = (attempt, ageMs) -> ageMs >= 200 ? Outcome.OK : null;
+        sendRequests(sidecar, 60_000, 20, slow);
         int served = sidecar.served;
-        play(sidecar, 5000, 20, slow);
+        sendRequests(sidecar, 5000, 20, slow);
         assertTrue(sidecar.served - served > 200, "of 250 served: " + (sidecar.served - served));
     }
 
-    private static double part(RuleCheckingSidecar sidecar, List<Integer> requests) {
+    private static double servedFraction(RuleCheckingSidecar sidecar, List<Integer> requests) {
         return requests.stream()
                         .filter(id ->
                                 sidecar.attemptsOf(id).stream().anyMatch(attempt -> attempt.outcome == Outcome.OK))
@@ -345,14 +350,14 @@
     }
 
     @Test
-    void theWorthierClassIsServedFirstUnderOverload() {
+    void classOfHigherWorthIsServedFirstUnderOverload() {
         Settings settings = Samples.settings(
                 Samples.requestClass(Effect.SAFE, Group.ALL, 1), Samples.requestClass(Effect.SAFE, Group.ALL, 5));
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, 5);
         sidecar.listReady(2);
-        play(sidecar, 5000, 20, SOUND);
+        sendRequests(sidecar, 5000, 20, HEALTHY);
         double from = sidecar.nowMs;
-        play(sidecar, 10_000, 5, (attempt, ageMs) -> ageMs >= 150 ? Outcome.OK : null);
+        sendRequests(sidecar, 10_000, 5, (attempt, ageMs) -> ageMs >= 150 ? Outcome.OK : null);
         int[] sent = new int[2];
         sidecar.sent.stream()
                 .filter(attempt -> attempt.sentMs > from + 2000)
@@ -361,14 +366,14 @@
     }
 
     @Test
-    void aColdServerGetsItsPartAndSidecarsTogetherStayInTheBudget() {
+    void coldNodeGetsItsFractionAndSidecarsTogetherStayWithinIt() {
         List<RuleCheckingSidecar> sidecars = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Settings settings =
                     Samples.settings(3, LIMITS, false, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1));
             RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, i);
             sidecar.listReady(5);
-            play(sidecar, 5000, 10, SOUND);
+            sendRequests(sidecar, 5000, 10, HEALTHY);
             sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(9, Status.READY, sidecar.nowMs - 100));
             sidecars.add(sidecar);
         }
@@ -376,21 +381,22 @@
         double warmPerS = 0;
         double coldPerS = 0;
         for (RuleCheckingSidecar sidecar : sidecars) {
-            play(sidecar, 2000, 10, SOUND);
+            sendRequests(sidecar, 2000, 10, HEALTHY);
             coldPerS += sentTo(sidecar, 9, from) / 2.0;
             warmPerS += sentTo(sidecar, 1, from) / 2.0;
         }
-        // A quarter warm at the start, and the fleet far from full: about a third of a warm server's rate.
+        // A cold node starts with a quarter of its capacity; with the fleet far
+        // from full it gets about a third of the rate.
         assertTrue(coldPerS > 0.1 * warmPerS && coldPerS < 0.7 * warmPerS, coldPerS + " of " + warmPerS);
         for (RuleCheckingSidecar sidecar : sidecars) {
-            play(sidecar, 20_000, 10, SOUND);
-            assertTrue(sentTo(sidecar, 9, sidecar.nowMs - 3000) > 20, "warm now");
+            sendRequests(sidecar, 20_000, 10, HEALTHY);
+            assertTrue(sentTo(sidecar, 9, sidecar.nowMs - 3000) > 20, "the node is warm");
         }
     }
 
     @Test
-    void aFirstTimeoutUnderTheTypicalLatencyLeavesTheSharesSound() {
-        // The running median fell to zero, every share became NaN and nothing was sent ever after.
+    void firstTimeoutBelowTheTypicalLatencyKeepsSharesValid() {
+        // Guards against a running median of zero, which makes every share NaN, so that nothing is sent any more.
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
         sidecar.listReady(5);
         for (int i = 0; i < 3; i++) {
@@ -400,13 +406,14 @@
         sidecar.request(0);
         sidecar.advance(3000);
         int before = sidecar.sent.size();
-        play(sidecar, 5000, 50, SOUND);
+        sendRequests(sidecar, 5000, 50, HEALTHY);
         assertTrue(sidecar.sent.size() - before >= 95, "sent: " + (sidecar.sent.size() - before));
     }
 
     @Test
-    void sidecarsTogetherHeapNothingOnAColdServerWhenAllOthersFail() {
-        // Forty-five sidecars that each had a token saved for it pushed it over when the others were full.
+    void coldNodeIsNotOverloadedWhenAllOthersFail() {
+        // Guards against 45 sidecars that each have a saved token for a cold
+        // node and overload it once the others are full.
         double coldFrom = Samples.safe().contract().coldFrom();
         int sent = 0;
         int offered = 0;
@@ -414,27 +421,32 @@
             RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                     Samples.settings(45, LIMITS, false, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1)), i);
             sidecar.listReady(9);
-            play(sidecar, 5000, 50, SOUND);
-            play(sidecar, 3000, 50, (attempt, ageMs) -> ageMs >= 20 ? Outcome.REJECTED : null);
+            sendRequests(sidecar, 5000, 50, HEALTHY);
+            sendRequests(sidecar, 3000, 50, (attempt, ageMs) -> ageMs >= 20 ? Outcome.REJECTED : null);
             sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(10, Status.READY, sidecar.nowMs));
             double from = sidecar.nowMs;
-            play(sidecar, 1000, 50, (attempt, ageMs) -> ageMs >= 20 ? Outcome.REJECTED : null);
+            sendRequests(sidecar, 1000, 50, (attempt, ageMs) -> ageMs >= 20 ? Outcome.REJECTED : null);
             sent += (int) sentTo(sidecar, 10, from);
             offered += 20;
         }
         double part = sent / (offered / 10.0);
-        assertTrue(part > 0 && part < 2 * coldFrom, "of its share: " + part);
+        assertTrue(part > 0 && part < 2 * coldFrom, "fraction of its share: " + part);
     }
 
-    /** Plays so many requests in each tick, more than there is room for. */
-    private static void flood(RuleCheckingSidecar sidecar, double ms, int inTick, boolean repeats, Fleet fleet) {
+    /** Sends {@code requestsPerTick} requests in each tick, more than there is capacity for. */
+    private static void flood(
+            RuleCheckingSidecar sidecar,
+            double ms,
+            int requestsPerTick,
+            boolean clientRetries,
+            UpstreamBehaviour behaviour) {
         for (double until = sidecar.nowMs + ms; sidecar.nowMs < until; ) {
-            for (int i = 0; i < inTick; i++) {
-                sidecar.request(0, 0, 4000, repeats);
+            for (int i = 0; i < requestsPerTick; i++) {
+                sidecar.request(0, 0, 4000, clientRetries);
             }
             sidecar.advance(Samples.TICK_MS);
             for (RuleCheckingSidecar.SentAttempt attempt : sidecar.inFlight()) {
-                Outcome outcome = fleet.answer(attempt, sidecar.nowMs - attempt.sentMs);
+                Outcome outcome = behaviour.outcome(attempt, sidecar.nowMs - attempt.sentMs);
                 if (outcome != null) {
                     sidecar.endAttempt(attempt, outcome);
                 }
@@ -442,8 +454,8 @@
         }
     }
 
-    /** Answers in 50 ms; where more than four are out at one server, in so much more. */
-    private static Fleet fourAtOnce(RuleCheckingSidecar sidecar) {
+    /** Answers in 50 ms, and more slowly in proportion if more than four attempts are in flight at a node. */
+    private static UpstreamBehaviour capacityOfFour(RuleCheckingSidecar sidecar) {
         return (attempt, ageMs) -> {
             long out = sidecar.inFlight().stream()
                     .filter(other -> other.upstream == attempt.upstream)
@@ -453,41 +465,45 @@
     }
 
     @Test
-    void whatWarmServersHaveNoRoomForGoesToColdOnesAtTheRateThatIsWarmForCertain() {
-        // After a release most of a fleet is young: repeats were refused by the hundred while its machines stood idle.
+    void excessOverWarmCapacityGoesToColdNodesAtTheirWarmRate() {
+        // After a rolling release most nodes are cold. Guards against refusing
+        // retries by the hundred while nodes are idle.
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
         sidecar.listReady(8);
-        play(sidecar, 20_000, 5, fourAtOnce(sidecar));
+        sendRequests(sidecar, 20_000, 5, capacityOfFour(sidecar));
         double from = sidecar.nowMs;
         for (int id = 1; id <= 6; id++) {
             sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(id, Status.READY, from));
         }
-        Fleet fleet = fourAtOnce(sidecar);
-        flood(sidecar, 4000, 2, true, fleet); // more than the two warm ones can carry
+        UpstreamBehaviour behaviour = capacityOfFour(sidecar);
+        flood(sidecar, 4000, 2, true, behaviour); // more than the two warm nodes can serve
         double warmPerS = sentTo(sidecar, 7, from) / 4.0;
         Balancer.Contract contract = sidecar.settings.contract();
-        double meanWarmth = contract.coldFrom() + (1 - contract.coldFrom()) * 2000 / contract.coldMs();
+        double meanWarmFraction = contract.coldFrom() + (1 - contract.coldFrom()) * 2000 / contract.coldMs();
         for (int id = 1; id <= 6; id++) {
             double part = sentTo(sidecar, id, from) / 4.0 / warmPerS;
-            assertTrue(part > 0.5 * meanWarmth, "upstream " + id + " was left idle: " + part);
-            assertTrue(part < contract.overloadFactor() * meanWarmth, "upstream " + id + " is pushed over: " + part);
+            assertTrue(part > 0.5 * meanWarmFraction, "upstream " + id + " is left idle: " + part);
+            assertTrue(
+                    part < contract.overloadFactor() * meanWarmFraction, "upstream " + id + " is overloaded: " + part);
         }
     }
 
     @Test
-    void aServerThatFailsAtOnceHasNoMoreRoomThanOneThatAnswers() {
-        // Its window was free again at once: where the others were full it drew what they had no room for, and failed
-        // it.
+    void nodeThatFailsAtOnceGetsNoMoreThanOneThatAnswers() {
+        // Guards against a limit that a failure frees at once: while the others are full, the failing node
+        // then attracts the requests that they have no capacity for, and fails them.
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
         sidecar.listReady(4);
-        play(sidecar, 10_000, 5, fourAtOnce(sidecar));
+        sendRequests(sidecar, 10_000, 5, capacityOfFour(sidecar));
         double from = sidecar.nowMs;
         int[] answers = {0};
-        Fleet sound = fourAtOnce(sidecar);
-        Fleet fleet = (attempt, ageMs) -> attempt.upstream != 1
-                ? sound.answer(attempt, ageMs)
-                : ageMs < 1 ? null : ++answers[0] % 3 == 0 ? Outcome.OK : Outcome.ERROR; // never three in a row
-        flood(sidecar, 3000, 4, false, fleet);
+        UpstreamBehaviour healthy = capacityOfFour(sidecar);
+        UpstreamBehaviour behaviour = (attempt, ageMs) -> attempt.upstream != 1
+                ? healthy.outcome(attempt, ageMs)
+                : ageMs < 1
+                        ? null
+                        : ++answers[0] % 3 == 0 ? Outcome.OK : Outcome.ERROR; // never three failures in a row
+        flood(sidecar, 3000, 4, false, behaviour);
         assertTrue(
                 sentTo(sidecar, 1, from) < 1.5 * sentTo(sidecar, 2, from),
                 sentTo(sidecar, 1, from) + " to the one that" + " fails, " + sentTo(sidecar, 2, from)
@@ -495,7 +511,7 @@
     }
 
     @Test
-    void anEmptyListHoldsThenRefusesAndServesWhenServersCome() {
+    void requestsWaitOnAnEmptyListAndAreServedOnceNodesAreListed() {
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
         sidecar.updateList(ListKind.CACHED);
         int early = sidecar.request(0);
@@ -511,22 +527,22 @@
     }
 
     @Test
-    void whoFindsNoRoomWaitsForAMomentAndIsRefusedThen() {
-        // The client has few connections: those that wait for an aim left none for requests that there was room for.
+    void requestWithoutFreeCapacityWaitsBrieflyAndIsThenRefused() {
+        // A client has few connections: requests that wait for a whole aim leave none for those that could be served.
         RuleCheckingSidecar sidecar = sidecar(1);
         int request = sidecar.request(0);
         while (!sidecar.attemptsOf(request).isEmpty()) {
             request = sidecar.request(0);
         }
         sidecar.advance(20);
-        assertFalse(sidecar.isCompleted(request), "room may come at once");
+        assertFalse(sidecar.isCompleted(request), "capacity may be free soon");
         sidecar.advance(180);
         assertTrue(sidecar.isCompleted(request), "long before its aim of a second");
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void aSubsetGrowsWhereItsMembersAreFull() {
+    void subsetGrowsWhenItsMembersAreFull() {
         RuleCheckingSidecar sidecar = oneOfEight(14);
         assertEquals(
                 10,
@@ -534,7 +550,7 @@
                         .map(attempt -> attempt.upstream)
                         .distinct()
                         .count());
-        play(sidecar, 10_000, 5, (attempt, ageMs) -> ageMs >= 400 ? Outcome.OK : null);
+        sendRequests(sidecar, 10_000, 5, (attempt, ageMs) -> ageMs >= 400 ? Outcome.OK : null);
         assertTrue(sidecar.sent.stream()
                         .map(attempt -> attempt.upstream)
                         .distinct()
@@ -543,7 +559,7 @@
     }
 
     @Test
-    void oneRequestInManySecondsIsServedAndLeavesNoTimers() {
+    void rareRequestsAreServedAndLeaveNoTimers() {
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 5);
         sidecar.listReady(3);
         for (int i = 0; i < 20; i++) {
@@ -553,11 +569,11 @@
             assertTrue(sidecar.isCompleted(request));
             sidecar.advance(30_000);
         }
-        assertTrue(sidecar.actions.size() < 20 * 4, "idle sidecars set no timers: " + sidecar.actions.size());
+        assertTrue(sidecar.actions.size() < 20 * 4, "an idle sidecar sets no timers: " + sidecar.actions.size());
     }
 
     @Test
-    void anAskingSidecarSubscribesAndDoesSoAgainAtPacedRandomTimes() {
+    void failedSubscriptionIsRetriedWithBackoffAndJitter() {
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
             RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
@@ -575,23 +591,23 @@
                 sidecar.updateList(ListKind.FAILED);
                 sidecar.advance(sidecar.settings.contract().askEveryMs() / 2);
             }
-            assertEquals(12, sidecar.subscriptions, "asks again within half the time allowed");
+            assertEquals(12, sidecar.subscriptions, "subscribes again within half the time allowed");
         }
-        assertTrue(delays.stream().distinct().count() > 10, "spread out: " + delays);
-        assertTrue(delays.stream().allMatch(delay -> delay >= 100 && delay <= 400), "paced: " + delays);
+        assertTrue(delays.stream().distinct().count() > 10, "random: " + delays);
+        assertTrue(delays.stream().allMatch(delay -> delay >= 100 && delay <= 400), "within bounds: " + delays);
     }
 
     @Test
-    void aRestartedServerBeginsAnew() {
+    void restartedNodeStartsCold() {
         long again = 0;
         long other = 0;
-        for (int seed = 0; seed < 10; seed++) { // one second of one sidecar alone may be chance
+        for (int seed = 0; seed < 10; seed++) { // a second of a single sidecar may be chance
             RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), seed);
             sidecar.listReady(3);
-            play(sidecar, 5000, 10, SOUND);
+            sendRequests(sidecar, 5000, 10, HEALTHY);
             sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(1, Status.READY, sidecar.nowMs));
             double from = sidecar.nowMs;
-            play(sidecar, 1000, 10, SOUND);
+            sendRequests(sidecar, 1000, 10, HEALTHY);
             again += sentTo(sidecar, 1, from);
             other += sentTo(sidecar, 2, from);
         }
@@ -599,7 +615,7 @@
     }
 
     @Test
-    void wrongArgumentsAreRejectedWithAMessage() {
+    void invalidArgumentsAreRejectedWithAMessage() {
         assertMessage("cold share", () -> new Balancer.Contract(0, 1, 1, 1, 1));
         assertMessage("at least one request class", () -> Samples.settings(new RequestClass[0]));
         assertMessage("at least one attempt", () -> new Limits(0, true, true, true, 0));
--- a/src/test/java/ivybank/policy/NoOpBalancer.java
+++ b/src/test/java/ivybank/policy/NoOpBalancer.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A balancer that does nothing: for tests of what stands around one. */
+/** A balancer that does nothing, for tests of the code around a balancer. */
 public class NoOpBalancer implements Balancer {
 
     @Override
--- a/src/test/java/ivybank/policy/RuleCheckingSidecar.java
+++ b/src/test/java/ivybank/policy/RuleCheckingSidecar.java
@@ -18,12 +18,12 @@
 import java.util.TreeMap;
 
 /**
- * Stands in for a sidecar: passes events to a balancer, carries its timers and time-outs out, and checks every action
- * against the rules. What upstreams answer is for the test to say.
+ * A test double of the sidecar: passes events to a balancer, runs its timers and timeouts, and checks each action against the
+ * rules. The test decides how attempts end.
  */
 final class RuleCheckingSidecar implements Balancer.Actions {
 
-    /** Makes the balancer under test. */
+    /** Creates the balancer under test. */
     interface Factory {
         Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
@@ -95,8 +95,6 @@
         balancer.start(nowMs);
     }
 
-    // Events.
-
     void updateList(ListKind kind, Upstream... entries) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             listed.keySet().forEach(id -> withdrawnSinceMs.putIfAbsent(id, nowMs));
@@ -112,7 +110,7 @@
         balancer.upstreams(nowMs, kind, List.of(entries));
     }
 
-    /** A list of this many ready upstreams with ids from 1. */
+    /** Lists this many ready upstreams, with ids from 1. */
     void listReady(int count) {
         Upstream[] entries = new Upstream[count];
         for (int i = 0; i < count; i++) {
@@ -162,7 +160,7 @@
         balancer.clientLeft(nowMs, request);
     }
 
-    /** Lets time pass, with the timers and time-outs that fall due. */
+    /** Advances the time and runs the timers and timeouts that fall due. */
     void advance(double ms) {
         double until = nowMs + ms;
         while (true) {
@@ -189,8 +187,6 @@
         checkDeadlines();
     }
 
-    // What can be asked of it.
-
     List<SentAttempt> inFlight() {
         return sent.stream().filter(attempt -> attempt.outcome == null).toList();
     }
@@ -211,8 +207,6 @@
         return requests.values().stream().filter(state -> !state.completed).count();
     }
 
-    // Actions, each checked.
-
     @Override
     public void send(int request, int upstream, double timeoutMs) {
         actions.add("send " + request + " to " + upstream + " for " + timeoutMs);
@@ -225,13 +219,13 @@
             violations.add("sent to upstream " + upstream + " that was never listed");
         }
         if (withdrawnSinceMs.containsKey(upstream)) {
-            violations.add("drain: sent to upstream " + upstream + " that drains or is gone");
+            violations.add("drain: sent to upstream " + upstream + " that is draining or gone");
         }
         if (state.attempts.size() >= settings.limits().maxAttempts()) {
             violations.add("attempts: more than allowed");
         }
         if (state.hasAttemptInFlight() && !settings.limits().secondCopies()) {
-            violations.add("copies: two attempts out");
+            violations.add("copies: two attempts in flight");
         }
         for (SentAttempt before : state.attempts) {
             if (!mayHaveRun(before)) {
@@ -265,7 +259,7 @@
                 || !state.mayHaveRun()
                 || state.spec.effect() == Effect.KEYED && state.spec.group() == Group.ALL;
         if (!retrySafe) {
-            violations.add("repeat: refused what may have run");
+            violations.add("repeat: refused a request that may have run");
         }
         state.completed = true;
         refused++;
@@ -328,7 +322,7 @@
     private RequestState openRequest(int request, String action) {
         RequestState state = requests.get(request);
         if (state == null || state.completed) {
-            violations.add("lost: " + action + " for request " + request + " that is over or unknown");
+            violations.add("lost: " + action + " for request " + request + " that is completed or unknown");
             return null;
         }
         return state;
--- a/src/test/java/ivybank/policy/RulesTest.java
+++ b/src/test/java/ivybank/policy/RulesTest.java
@@ -21,54 +21,54 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The rules as properties over generated events, for every effect class and limit. */
+/** Checks the rules against random events, for each effect, group and limit. */
 class RulesTest {
 
-    static Stream<Arguments> worlds() {
-        List<Arguments> worlds = new ArrayList<>();
+    static Stream<Arguments> effectsAndLimits() {
+        List<Arguments> arguments = new ArrayList<>();
         for (Effect effect : Effect.values()) {
             for (Group group : effect == Effect.KEYED ? Group.values() : new Group[] {Group.ALL}) {
                 for (boolean copies : new boolean[] {true, false}) {
                     for (boolean cancel : new boolean[] {true, false}) {
                         for (int attempts : new int[] {1, 4}) {
-                            worlds.add(Arguments.of(effect, group, new Limits(attempts, copies, cancel, false, 0)));
+                            arguments.add(Arguments.of(effect, group, new Limits(attempts, copies, cancel, false, 0)));
                         }
                     }
                 }
             }
         }
-        return worlds.stream();
+        return arguments.stream();
     }
 
     @ParameterizedTest
-    @MethodSource("worlds")
-    void generatedEventsBreakNoRule(Effect effect, Group group, Limits limits) {
+    @MethodSource("effectsAndLimits")
+    void randomEventsViolateNoRule(Effect effect, Group group, Limits limits) {
         for (int seed = 0; seed < 8; seed++) {
             Settings settings =
                     Samples.settings(3, limits, seed % 2 == 0, List.of(), Samples.requestClass(effect, group, 1));
             RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, seed);
-            play(sidecar, new Random(seed), 1500);
+            sendRandomEvents(sidecar, new Random(seed), 1500);
             assertEquals(List.of(), sidecar.violations, "seed " + seed);
             assertEquals(0, sidecar.openRequests());
             assertTrue(sidecar.served > 0, "something was served");
         }
     }
 
-    /** Random events: requests of all patience, answers of all kinds, lists old and new, restarts, clients gone. */
-    private static void play(RuleCheckingSidecar sidecar, Random random, int events) {
+    /** Generates random events: requests with long and short timeouts, all outcomes, lists, restarts and disconnects. */
+    private static void sendRandomEvents(RuleCheckingSidecar sidecar, Random random, int events) {
         sidecar.updateList(ListKind.CACHED);
         sidecar.listReady(1 + random.nextInt(14));
         Outcome[] outcomes = Outcome.values();
         int newest = 0;
         for (int i = 0; i < events; i++) {
             List<RuleCheckingSidecar.SentAttempt> out = sidecar.inFlight();
-            int dice = random.nextInt(100);
-            if (dice < 35) {
+            int percent = random.nextInt(100);
+            if (percent < 35) {
                 newest = sidecar.request(0, 0, random.nextInt(10) == 0 ? 5 + random.nextInt(200) : 4000, false);
-            } else if (dice < 70 && !out.isEmpty()) {
+            } else if (percent < 70 && !out.isEmpty()) {
                 Outcome outcome = random.nextBoolean() ? Outcome.OK : outcomes[random.nextInt(outcomes.length)];
                 sidecar.endAttempt(out.get(random.nextInt(out.size())), outcome);
-            } else if (dice < 73) {
+            } else if (percent < 73) {
                 Status[] statuses = Status.values();
                 List<Upstream> entries = new ArrayList<>();
                 for (int id = 1 + random.nextInt(3); id < 16; id += 1 + random.nextInt(5)) {
@@ -77,9 +77,9 @@
                 }
                 sidecar.updateList(
                         random.nextInt(4) == 0 ? ListKind.FULL : ListKind.DELTA, entries.toArray(new Upstream[0]));
-            } else if (dice < 74) {
+            } else if (percent < 74) {
                 sidecar.updateList(ListKind.FAILED);
-            } else if (dice < 76 && newest > 0 && !sidecar.isCompleted(newest)) {
+            } else if (percent < 76 && newest > 0 && !sidecar.isCompleted(newest)) {
                 sidecar.disconnectClient(newest);
             } else {
                 sidecar.advance(random.nextInt(40));
@@ -89,48 +89,48 @@
     }
 
     @Test
-    void theCheckerCatchesEachBreach() {
-        assertCaught("drain", Effect.SAFE, (sidecar, request) -> {
+    void checkerDetectsEachViolation() {
+        assertDetected("drain", Effect.SAFE, (sidecar, request) -> {
             sidecar.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(1, Status.DRAINING, 0));
             sidecar.send(request, 1, 100);
         });
-        assertCaught("repeat", Effect.UNSAFE, (sidecar, request) -> {
+        assertDetected("repeat", Effect.UNSAFE, (sidecar, request) -> {
             sidecar.send(request, 1, 100);
             sidecar.send(request, 2, 100);
         });
-        assertCaught("repeat", Effect.UNSAFE, (sidecar, request) -> {
+        assertDetected("repeat", Effect.UNSAFE, (sidecar, request) -> {
             sidecar.send(request, 1, 100);
             sidecar.refuse(request, 0);
         });
-        assertCaught("repeat", Effect.KEYED, (sidecar, request) -> {
+        assertDetected("repeat", Effect.KEYED, (sidecar, request) -> {
             sidecar.send(request, 1, 100);
             sidecar.send(request, 2, 100);
         });
-        assertCaught("lost", Effect.SAFE, (sidecar, request) -> {
+        assertDetected("lost", Effect.SAFE, (sidecar, request) -> {
             sidecar.refuse(request, 0);
             sidecar.fail(request);
         });
-        assertCaught("lost", Effect.SAFE, (sidecar, request) -> sidecar.advance(10_000));
+        assertDetected("lost", Effect.SAFE, (sidecar, request) -> sidecar.advance(10_000));
     }
 
-    private interface Misdeed {
+    private interface Violation {
         void commit(RuleCheckingSidecar sidecar, int request);
     }
 
-    private static void assertCaught(String rule, Effect effect, Misdeed misdeed) {
+    private static void assertDetected(String rule, Effect effect, Violation violation) {
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                 Samples.settings(Samples.requestClass(effect, Group.ZONE, 1)),
                 1,
                 (settings, seed, actions) -> new NoOpBalancer());
         sidecar.listReady(3);
-        misdeed.commit(sidecar, sidecar.request(0));
+        violation.commit(sidecar, sidecar.request(0));
         assertTrue(
-                sidecar.violations.stream().anyMatch(breach -> breach.startsWith(rule)),
+                sidecar.violations.stream().anyMatch(message -> message.startsWith(rule)),
                 rule + " not in " + sidecar.violations);
     }
 
     @Test
-    void lateAndUnknownEventsChangeNothing() {
+    void lateAndUnknownEventsAreIgnored() {
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 3);
         sidecar.listReady(3);
         int request = sidecar.request(0);
@@ -151,8 +151,9 @@
     }
 
     @Test
-    void theKeyedWindowCountsFromTheFirstAttemptEvenIfThatProvesNotToHaveRun() {
-        // A copy was out when the first attempt's connection failed late; a third went out after the window.
+    void keyedWindowStartsAtTheFirstAttemptEvenIfItDidNotRun() {
+        // A second copy is in flight when the first attempt's connection fails
+        // late. Guards against a third after the window.
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(
                 Samples.settings(
                         new Balancer.RequestClass("keyed", 4000, 8000, 1, 0.5, Effect.KEYED, Group.ALL, 600, false)),
@@ -173,16 +174,17 @@
                     .toList()
                     .forEach(attempt -> sidecar.endAttempt(attempt, Outcome.OK));
         }
-        assertEquals(2, sidecar.attemptsOf(request).size(), "a copy was sent");
+        assertEquals(2, sidecar.attemptsOf(request).size(), "a second copy was sent");
         sidecar.advance(first.sentMs + 650 - sidecar.nowMs);
         sidecar.endAttempt(first, Outcome.CONNECT_FAILED);
         sidecar.endAttempt(sidecar.attemptsOf(request).get(1), Outcome.ERROR);
-        assertEquals(2, sidecar.attemptsOf(request).size(), "no third after the window of the first");
+        assertEquals(
+                2, sidecar.attemptsOf(request).size(), "no third attempt after the window that began with the first");
     }
 
     @Test
-    void aRequestWithLessTimeThanAControlTickIsAnsweredAtOnce() {
-        // Incident id7bbad: it was held for the next control tick and answered late.
+    void requestWithLessTimeThanAControlIntervalIsAnsweredAtOnce() {
+        // Guards against holding such a request for the next control tick and answering it late (incident id7bbad).
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(Samples.safe(), 3);
         int request = sidecar.request(0, 0, 30, false);
         assertTrue(sidecar.isCompleted(request));
@@ -190,7 +192,7 @@
     }
 
     @Test
-    void aStartedStreamIsNeitherCancelledNorSentAgain() {
+    void startedStreamIsNeitherCancelledNorSentAgain() {
         Settings settings = Samples.settings(
                 new Balancer.RequestClass("stream", 1000, 4000, 1, 0, Effect.SAFE, Group.ALL, 0, true));
         RuleCheckingSidecar sidecar = new RuleCheckingSidecar(settings, 3);
@@ -209,12 +211,12 @@
     @Test
     void sameEventsGiveTheSameActionsAndInstancesShareNothing() {
         RuleCheckingSidecar alone = new RuleCheckingSidecar(Samples.safe(), 11);
-        play(alone, new Random(5), 1000);
+        sendRandomEvents(alone, new Random(5), 1000);
         RuleCheckingSidecar neighbour = new RuleCheckingSidecar(Samples.safe(), 12);
-        play(neighbour, new Random(6), 500);
-        RuleCheckingSidecar beside = new RuleCheckingSidecar(Samples.safe(), 11);
-        play(beside, new Random(5), 1000);
-        assertEquals(alone.actions, beside.actions);
+        sendRandomEvents(neighbour, new Random(6), 500);
+        RuleCheckingSidecar again = new RuleCheckingSidecar(Samples.safe(), 11);
+        sendRandomEvents(again, new Random(5), 1000);
+        assertEquals(alone.actions, again.actions);
         assertFalse(alone.actions.equals(neighbour.actions));
     }
 }
--- a/src/test/java/ivybank/policy/Samples.java
+++ b/src/test/java/ivybank/policy/Samples.java
@@ -10,7 +10,7 @@
 import ivybank.policy.Balancer.Tenant;
 import java.util.List;
 
-/** Settings for the tests. */
+/** Creates settings for tests. */
 final class Samples {
 
     static final double TICK_MS = 5;
--- a/src/test/java/ivybank/queue/RankedQueuesTest.java
+++ b/src/test/java/ivybank/queue/RankedQueuesTest.java
@@ -16,7 +16,7 @@
     private final List<String> offered = new ArrayList<>();
 
     @Test
-    void theHighestValueIsOfferedFirstAndTheNewestOfAQueueBeforeOlderOnes() {
+    void offersTheHighestValueAndTheNewestItemFirst() {
         queues.add(queues.queue(0, false), "old");
         queues.add(queues.queue(0, false), "new");
         queues.add(queues.queue(1, true), "repeat");
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theFirstThatIsNotTakenStaysAndEndsTheOffer() {
+    void firstItemThatIsNotAcceptedStaysAndEndsTheOffer() {
         queues.add(0, "a");
         queues.add(0, "b");
         queues.offer(item -> {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whatIsRemovedOrDroppedNoLongerWaits() {
+    void removedItemsAreNotOffered() {
         queues.add(0, "a");
         queues.add(1, "b");
         queues.add(1, "c");
--- a/src/test/java/ivybank/simhost/SimHostTest.java
+++ b/src/test/java/ivybank/simhost/SimHostTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Frames byte for byte, malformed input, and the main class over real streams. */
+/** Tests frames byte for byte, malformed input, and the main class with real streams. */
 class SimHostTest {
 
     private static final String SETTINGS = """
@@ -40,7 +40,7 @@
             tickMs=5.0
             """;
 
-    /** Writes one batch as the simulator would. */
+    /** Encodes one batch as the simulator does. */
     private static final class Frame {
         private final ByteBuffer body = ByteBuffer.allocate(1 << 20).order(ByteOrder.LITTLE_ENDIAN);
         private int records;
@@ -89,7 +89,7 @@
                             .putDouble(0));
         }
 
-        Frame verdict(int id, int upstream, int leg, int code, boolean complete) {
+        Frame verdict(int id, int upstream, int attempt, int code, boolean complete) {
             return put(
                     5,
                     20,
@@ -97,7 +97,7 @@
                             .putDouble(20)
                             .put((byte) (complete ? 1 : 0))
                             .putInt(upstream)
-                            .put((byte) leg)
+                            .put((byte) attempt)
                             .put((byte) code)
                             .put((byte) 0));
         }
@@ -141,13 +141,13 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         byte[] input = HexFormat.of().parseHex("00000000206ec040" + "08000000" + "00000000" + "01000000");
         assertEquals("0400000001000000", HexFormat.of().formatHex(run(input)));
     }
 
     @Test
-    void actionsAreWrittenByteForByte() throws IOException {
+    void actionsAreEncodedByteForByte() throws IOException {
         SimHost.Factory factory = (settings, seed, actions) -> new NoOpBalancer() {
             @Override
             public void timer(double nowMs, int token) {
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void aRequestIsSentAndReusedListNumbersAreTakenInOrder() throws IOException {
+    void reusedListNumbersApplyInOrder() throws IOException {
         byte[] input = new Frame()
                 .at(0)
                 .spawn(1, SETTINGS)
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void theActionsOfAnInstanceDoNotDependOnItsNeighbours() throws IOException {
+    void actionsOfAnInstanceDoNotDependOnOthers() throws IOException {
         List<byte[]> together = new ArrayList<>();
         List<byte[]> alone = new ArrayList<>();
         for (int batch = 1; batch < 40; batch++) {
@@ -227,25 +227,26 @@
             together.add(both.bytes(batch, batch));
             alone.add(one.bytes(batch, batch));
         }
-        List<String> beside = actionsOf(1, run(join(together.toArray(new byte[0][]))));
-        assertTrue(beside.size() > 12, "the first window of each upstream is sent: " + beside.size());
-        assertEquals(actionsOf(1, run(join(alone.toArray(new byte[0][])))), beside);
+        List<String> amongOthers = actionsOf(1, run(join(together.toArray(new byte[0][]))));
+        assertTrue(
+                amongOthers.size() > 12, "each upstream is sent its initial limit of attempts: " + amongOthers.size());
+        assertEquals(actionsOf(1, run(join(alone.toArray(new byte[0][])))), amongOthers);
     }
 
-    /** The records of one instance, in hexadecimal. */
+    /** Returns the records of one instance in hexadecimal. */
     private static List<String> actionsOf(int instance, byte[] replies) {
         int[] sizes = {0, 18, 14, 6, 7, 14, 6, 6, 0, 4, 4, 3, 2, 4};
         List<String> records = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(replies).order(ByteOrder.LITTLE_ENDIAN);
         while (in.hasRemaining()) {
             int end = in.getInt(in.position()) + 4 + in.position();
-            int speaker = -1;
+            int currentInstance = -1;
             for (int at = in.position() + 8; at < end; ) {
                 int code = in.getShort(at);
                 int size = sizes[code] + (code == 9 || code == 10 ? in.getShort(at + 2) : 0);
                 if (code == 13) {
-                    speaker = in.getShort(at + 2);
-                } else if (speaker == instance) {
+                    currentInstance = in.getShort(at + 2);
+                } else if (currentInstance == instance) {
                     records.add(HexFormat.of().formatHex(replies, at, at + size));
                 }
                 at += size;
@@ -256,7 +257,7 @@
     }
 
     @Test
-    void eventsAfterATeardownAreIgnoredAndAFreshStartKnowsNothing() throws IOException {
+    void eventsAfterATeardownAreIgnored() throws IOException {
         byte[] input = new Frame()
                 .at(0)
                 .spawn(1, SETTINGS)
@@ -269,7 +270,7 @@
     }
 
     @Test
-    void anExceptionOfTheModuleBecomesAPanic() throws IOException {
+    void exceptionOfTheBalancerBecomesAPanic() throws IOException {
         SimHost.Factory factory = (settings, seed, actions) -> new NoOpBalancer() {
             @Override
             public void timer(double nowMs, int token) {
@@ -282,7 +283,7 @@
     }
 
     @Test
-    void missingOrUnreadableSettingsPanicInPlainWords() throws IOException {
+    void missingOrMalformedSettingsCauseAPanicWithAClearMessage() throws IOException {
         for (String settings :
                 List.of("", "lanes.count=1\n", "lanes.count=one\n", SETTINGS.replace("4000.0", "soon"))) {
             String reply = new String(run(new Frame().at(0).spawn(1, settings).bytes(1, 1)), StandardCharsets.UTF_8);
@@ -295,7 +296,7 @@
     }
 
     @Test
-    void malformedFramesNameWhatAndWhere() {
+    void malformedFramesAreReportedWithTheirPosition() {
         byte[] good = new Frame().at(0).call(1).bytes(1, 9);
         assertMalformed("header bytes", Arrays.copyOf(good, 7));
         assertMalformed("input ends", Arrays.copyOf(good, good.length - 3));
@@ -323,7 +324,7 @@
     }
 
     @Test
-    void theMainClassRunsOverRealStreams(@TempDir Path dir) throws Exception {
+    void mainClassServesStandardStreams(@TempDir Path dir) throws Exception {
         byte[] good = join(
                 new Frame()
                         .at(0)
@@ -339,7 +340,7 @@
         assertArrayEquals(run(good), fine.out);
         Result cut = launch(dir, join(good, new byte[] {1, 2, 3}));
         assertTrue(cut.exit != 0);
-        assertArrayEquals(fine.out, cut.out, "nothing more after the malformed frame");
+        assertArrayEquals(fine.out, cut.out, "no output after the malformed frame");
         assertEquals("ivybank: input ends after 3 of 20 header bytes", cut.err.trim());
     }
 
--- a/src/test/java/ivybank/slowstart/ColdNodeRateLimiterTest.java
+++ b/src/test/java/ivybank/slowstart/ColdNodeRateLimiterTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void aColdNodeMayBeSentThePartThatIsWarmOfWhatOneOfItsKindCarries() {
+    void coldNodeIsAllowedItsWarmFractionOfTheRateOfItsKind() {
         ColdNodeRateLimiter limiter = new ColdNodeRateLimiter();
         recordAnswers(limiter, 1, 0, 0, 40);
         recordAnswers(limiter, 2, 1, 0, 10);
@@ -24,16 +24,16 @@
     }
 
     @Test
-    void aKindThatNobodyHasSeenIsTakenForTheWeakest() {
+    void unknownKindGetsTheRateOfTheWeakest() {
         ColdNodeRateLimiter limiter = new ColdNodeRateLimiter();
-        assertEquals(0, limiter.allowedPerMs(7, 1), "nothing is known yet");
+        assertEquals(0, limiter.allowedPerMs(7, 1), "no rate is known yet");
         recordAnswers(limiter, 1, 0, 0, 40);
         recordAnswers(limiter, 2, 1, 0, 10);
         assertEquals(limiter.allowedPerMs(1, 1), limiter.allowedPerMs(7, 1));
     }
 
     @Test
-    void aSpanOfLittleTrafficHardlyLowersTheGuide() {
+    void windowWithLittleTrafficHardlyLowersTheRate() {
         ColdNodeRateLimiter limiter = new ColdNodeRateLimiter();
         recordAnswers(limiter, 1, 0, 0, 40);
         double before = limiter.allowedPerMs(0, 1);
@@ -43,9 +43,9 @@
     }
 
     @Test
-    void theBucketKeepsItsRateAndSavesNothingUp() {
+    void bucketKeepsItsRateWithoutBursts() {
         TokenBucket tokens = new TokenBucket();
-        assertFalse(tokens.hasToken(0, 0.01), "nothing is given before any time has passed");
+        assertFalse(tokens.hasToken(0, 0.01), "no token before any time has passed");
         int sent = 0;
         for (int ms = 0; ms <= 10_000; ms++) {
             if (tokens.hasToken(ms, 0.01)) {
@@ -56,11 +56,11 @@
         assertEquals(100, sent, 2);
         tokens.hasToken(100_000, 0.01);
         tokens.take();
-        assertFalse(tokens.hasToken(100_001, 0.01), "a pause of 90 s leaves room for one, not for 900");
+        assertFalse(tokens.hasToken(100_001, 0.01), "after a pause of 90 s there is one token, not 900");
     }
 
     @Test
-    void whatWentThereOtherwiseIsPaidBackFirst() {
+    void overdraftIsFilledUpFirst() {
         TokenBucket tokens = new TokenBucket();
         tokens.hasToken(0, 0.01);
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/ivybank/subsetting/SubsetSizeTest.java
+++ b/src/test/java/ivybank/subsetting/SubsetSizeTest.java
@@ -13,17 +13,17 @@
     private int sidecars = 1;
     private final SubsetSize subset = new SubsetSize(() -> sidecars);
 
-    /** Traffic that all nodes together would not be too many for. */
+    /** Records so much traffic that the size is not bounded by it. */
     SubsetSizeTest() {
         subset.requestReceived(0, 3000 * 1000);
     }
 
-    /** One whose clients ask for so much at quiet nodes, all the time, and that never finds room. */
-    private static SubsetSize withFullMembers(double requestsInHand, int nodes, int sidecars) {
+    /** Returns a subset after steady traffic of {@code requestsInFlight} concurrent requests that never found free capacity. */
+    private static SubsetSize withFullMembers(double requestsInFlight, int nodes, int sidecars) {
         SubsetSize subset = new SubsetSize(() -> sidecars);
         subset.update(nodes);
         for (int ms = 0; ms < 20_000; ms += 100) {
-            subset.requestReceived(ms, 100 * requestsInHand);
+            subset.requestReceived(ms, 100 * requestsInFlight);
             subset.memberOffered(false);
             subset.step(subset.update(nodes), nodes);
             if (ms % 1000 == 0) {
@@ -34,14 +34,14 @@
     }
 
     @Test
-    void neitherGrowsNorStaysLargeWhileAttemptsGetNoAnswer() {
+    void shrinksInsteadOfGrowingWhileAttemptsGetNoAnswer() {
         subset.memberAdded(1);
         subset.reportReceived(1, true, new double[] {0.1}, 0);
         for (int attempt = 0; attempt < 20; attempt++) {
             subset.reportReceived(2, true, new double[0], 0);
         }
         subset.memberOffered(false);
-        assertFalse(subset.step(10, NODES), "more neighbours of a jammed fleet jam it more");
+        assertFalse(subset.step(10, NODES), "a larger subset in an overloaded fleet adds to the overload");
         subset.restore(40);
         assertTrue(subset.tick(false, NODES));
         for (int attempt = 0; attempt < 200; attempt++) {
@@ -49,22 +49,22 @@
         }
         int size = subset.size();
         subset.memberOffered(false);
-        assertTrue(subset.step(size, NODES), "and grows again once they are answered");
+        assertTrue(subset.step(size, NODES), "it grows again once attempts are answered");
     }
 
     @Test
-    void oneOfLittleTrafficDoesNotGrowHoweverFullItsMembersAre() {
+    void doesNotGrowWithLittleTrafficEvenIfMembersAreFull() {
         assertEquals(
                 10,
                 withFullMembers(3, 60, 14).size(),
-                "three in hand fit on ten nodes: what is full there is others' doing");
-        assertEquals(60, withFullMembers(100, 60, 14).size(), "a hundred need all");
+                "three in flight fit on ten nodes; the rest of their load is from others");
+        assertEquals(60, withFullMembers(100, 60, 14).size(), "a hundred need all nodes");
         int some = withFullMembers(20, 60, 14).size();
-        assertTrue(some >= 20 && some <= 35, "twenty, with room for chance: " + some);
+        assertTrue(some >= 20 && some <= 35, "twenty with a margin for random variation: " + some);
     }
 
     @Test
-    void aHundredThatAreFullTogetherHaveNoMoreNeighboursThanTheirTrafficNeeds() {
+    void hundredSidecarsHaveNoMoreMembersThanTheirTrafficNeeds() {
         int pairs = 0;
         for (int sidecar = 0; sidecar < 100; sidecar++) {
             pairs += withFullMembers(sidecar == 0 ? 30 : 3, 60, 100).size();
@@ -73,20 +73,20 @@
     }
 
     @Test
-    void manySidecarsDrawFromFewerNodesEach() {
+    void manySidecarsHaveSmallerSubsets() {
         assertEquals(10, new SubsetSize(() -> 14).update(60));
         assertEquals(8, new SubsetSize(() -> 60).update(60));
         assertEquals(6, new SubsetSize(() -> 100).update(60));
         assertEquals(10, new SubsetSize(() -> 100).update(200));
-        assertEquals(6, new SubsetSize(() -> 10_000).update(60), "fewer could not be compared");
+        assertEquals(6, new SubsetSize(() -> 10_000).update(60), "with fewer nodes latencies cannot be compared");
         assertEquals(3, new SubsetSize(() -> 10_000).update(3));
         SubsetSize one = new SubsetSize(() -> 100);
         one.update(60);
-        assertEquals(10, one.update(200), "it follows the list while it has no more than usual");
+        assertEquals(10, one.update(200), "it follows the list while it has its default size");
     }
 
     @Test
-    void growthThatTrafficNoLongerAsksForIsGivenBack() {
+    void shrinksWhenTrafficFalls() {
         SubsetSize subset = withFullMembers(100, 60, 14);
         for (int ms = 20_000; ms < 60_000; ms += 100) {
             subset.requestReceived(ms, 300);
@@ -94,11 +94,11 @@
                 subset.tick(false, 60);
             }
         }
-        assertTrue(subset.size() <= 15, subset.size() + " nodes for three requests in hand");
+        assertTrue(subset.size() <= 15, subset.size() + " nodes for three requests in flight");
     }
 
     @Test
-    void reachesAllNodesWithinTwoSecondsOfStepsWithoutRoom() {
+    void reachesAllNodesWithinTwoSecondsWithoutFreeCapacity() {
         int steps = 0;
         while (subset.size() < NODES) {
             int before = subset.size();
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void staysWhereItIsWhileMembersHaveRoom() {
+    void keepsItsSizeWhileMembersHaveFreeCapacity() {
         subset.memberOffered(false);
         subset.step(10, NODES);
         int size = subset.size();
@@ -120,22 +120,22 @@
     }
 
     @Test
-    void growsNoFurtherThanThereAreNodes() {
+    void growsToAllNodesAtMost() {
         subset.memberOffered(false);
-        assertFalse(subset.step(4, 4), "with few nodes all are drawn from already");
+        assertFalse(subset.step(4, 4), "all of the few nodes are members already");
         subset.memberOffered(false);
         assertTrue(subset.step(10, 11));
         assertEquals(11, subset.size());
     }
 
     @Test
-    void waitsUntilThoseAskedForAreThere() {
+    void doesNotGrowBeforeTheSubsetIsFilled() {
         subset.memberOffered(false);
-        assertFalse(subset.step(9, NODES), "one has just left: its successor comes first");
+        assertFalse(subset.step(9, NODES), "a member that has left is replaced first");
     }
 
     @Test
-    void comesBackDownOnceThereWasRoomToSpareForAWhile() {
+    void shrinksAfterFreeCapacityForAWhile() {
         subset.restore(20);
         for (int tick = 0; tick < 10; tick++) {
             assertFalse(subset.tick(true, NODES));
@@ -143,19 +143,22 @@
         assertTrue(subset.tick(true, NODES));
         assertEquals(19, subset.size());
         subset.memberOffered(false);
-        assertFalse(subset.tick(true, NODES), "the calm counts anew after a request without room");
-        assertFalse(subset.tick(false, NODES), "and no member goes that is needed");
+        assertFalse(subset.tick(true, NODES), "the count of calm ticks restarts after a request found no capacity");
+        assertFalse(subset.tick(false, NODES), "no member is removed that is needed");
     }
 
     @Test
-    void neverUnderTheUsualNumber() {
+    void neverShrinksBelowTheDefaultSize() {
         for (int tick = 0; tick < 100; tick++) {
             subset.tick(true, NODES);
         }
         assertEquals(SubsetSize.DEFAULT_SIZE, subset.size());
     }
 
-    /** One that sends to new members, which report {@code busy} a few steps later; returns the steps until all nodes are drawn from. */
+    /**
+     * Grows the subset while its members are full and new members report the CPU utilisation {@code cpu} a few steps later; returns
+     * the number of steps until all nodes are members.
+     */
     private int stepsUntilAllNodes(double cpu, int maxSteps) {
         for (int step = 0; step < maxSteps; step++) {
             if (subset.size() == NODES) {
@@ -188,20 +191,20 @@
     }
 
     @Test
-    void growsByHalfOnceThoseAddedLastWereFoundIdle() {
+    void growsFastOnceNewMembersAreIdle() {
         reportFromFirstMembers(1);
         reportAll(0, 1, 1);
         for (int sample = 0;
                 sample < 3;
-                sample++) { // its own members are busy by its own doing: what counts is who is met anew
+                sample++) { // members may be busy with its own requests; only the reports of new members count
             subset.memberAdded(100 + sample);
             subset.reportReceived(100 + sample, true, new double[] {0.1}, 0);
         }
-        assertTrue(stepsUntilAllNodes(0.1, 60) <= 30, "idle nodes are found within three seconds");
+        assertTrue(stepsUntilAllNodes(0.1, 60) <= 30, "idle nodes are members within three seconds");
     }
 
     @Test
-    void growsOneByOneWhereThoseAddedLastWereFoundBusy() {
+    void growsOneByOneWhileNewMembersAreBusy() {
         reportFromFirstMembers(1);
         reportFromFirstMembers(1);
         stepsUntilAllNodes(1, 110);
@@ -209,7 +212,7 @@
     }
 
     @Test
-    void allSidecarsOfAnOverloadedFleetAddFewNeighboursWhateverTheirNumber() {
+    void sidecarsOfAnOverloadedFleetAddFewMembersEach() {
         for (int sidecars : new int[] {3, 14, 56, 224}) {
             int pairs = 0;
             for (int sidecar = 0; sidecar < sidecars; sidecar++) {
@@ -226,7 +229,7 @@
     }
 
     @Test
-    void comesBackDownWhereAllNodesAreDrawnFromAndOverloaded() {
+    void shrinksWhenAllNodesAreMembersAndOverloaded() {
         subset.restore(NODES);
         for (int answer = 0; answer < 500; answer++) {
             subset.reportReceived(answer % NODES, true, new double[] {1.1}, 0);
@@ -236,7 +239,7 @@
     }
 
     @Test
-    void whatColdNodesReportTellsNothing() {
+    void reportsOfColdNodesAreIgnored() {
         subset.restore(NODES);
         for (int answer = 0; answer < 500; answer++) {
             subset.reportReceived(answer % NODES, false, new double[] {1.1}, 0);
@@ -245,20 +248,20 @@
     }
 
     @Test
-    void nodesThatComeAndGoWithoutAReportAreNotKeptForEver() {
+    void nodesWithoutAReportAreForgotten() {
         for (int node = 0; node < 3 * SubsetSize.MAX_AWAITED_REPORTS; node++) {
             subset.memberAdded(node);
         }
-        assertTrue(subset.awaitedReports() <= SubsetSize.MAX_AWAITED_REPORTS, subset.awaitedReports() + " are kept");
+        assertTrue(subset.awaitedReports() <= SubsetSize.MAX_AWAITED_REPORTS, subset.awaitedReports() + " are awaited");
     }
 
     @Test
-    void whenThereAreMoreSidecarsThanWereToldOneDrawsFromFewerNodes() {
+    void shrinksWhenTheNumberOfSidecarsRises() {
         sidecars = 14;
         assertEquals(10, subset.update(NODES));
         assertFalse(subset.tick(true, NODES));
         sidecars = 100;
-        assertTrue(subset.tick(true, NODES), "the size is to be asked for anew");
+        assertTrue(subset.tick(true, NODES), "the size has to be computed again");
         assertEquals(6, subset.update(NODES));
         assertEquals(8 * 10 / 100.0, subset.minWindow(NODES), 1e-9);
     }
