--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -97,8 +97,11 @@
     private final Map<Integer, Call> calls = new HashMap<>();
     private final RankedQueues<Call> waitingCalls;
     private final List<Call> probingCalls = new ArrayList<>();
+    /** Index of the active requests in load reports, negative if they are not reported. */
     private final int activeField;
+    /** Index of the CPU utilisation in load reports, negative if it is not reported. */
     private final int cpuField;
+
     private final int probesPerAttempt;
     private final SubsetSize subset;
     private boolean controlTimerSet;
@@ -106,16 +109,22 @@
     private int subscribeFailures;
     private double nextShareUpdateMs;
     private final ColdNodeRateLimiter coldNodeRates = new ColdNodeRateLimiter();
+    /** By queue, the number of requests received; older ones count less. */
     private final double[] offered;
-    private final double[] refusedFraction; // by queue, of the requests that are refused on arrival
+    /** By queue, the fraction of requests that is refused on arrival. */
+    private final double[] refusedFraction;
+
     private double admittedFraction = 1;
     private double nextAdmissionUpdateMs;
     private double lateAttempts;
-    private double judgedAttempts; // late or in time; older ones count less
-    private boolean enoughSamples; // whether the last update of the shares was well sampled
+    /** The number of attempts counted as late or in time; older ones count less. */
+    private double judgedAttempts;
+    /** Whether there were enough samples per member at the last update of the shares. */
+    private boolean enoughSamples;
+    /** Attempts beyond the first ones of requests, retries and hedges, that may be sent now. */
     private double retryBudget = MAX_RETRY_BUDGET / 2;
-    private final Map<Cause, Integer> abandonedCalls =
-            new EnumMap<>(Cause.class); // since the last update of the shares
+    /** The number of requests abandoned since the last update of the shares, by cause. */
+    private final Map<Cause, Integer> abandonedCalls = new EnumMap<>(Cause.class);
 
     public LoadShiftingBalancer(Settings settings, long seed, Actions actions) {
         this.settings = settings;
@@ -357,7 +366,7 @@
         double meanShare = members.isEmpty() ? 1 : 1.0 / members.size();
         for (Host host : chosen) {
             if (!members.contains(host)) {
-                host.concurrency.reset(Math.max(1, subset.minWindow(list.hosts.size())));
+                host.concurrency.reset(Math.max(1, subset.minConcurrency(list.hosts.size())));
                 subset.memberAdded(host.id);
                 // As in the paper, shares start in proportion to the listed weights.
                 host.share = meanShare * (meanListedWeight > 0 ? host.listed.weight() / meanListedWeight : 1);
@@ -421,8 +430,8 @@
                     statistics -> statistics.restore(other.classes().get(classes.indexOf(statistics)), confidence));
             coldNodeRates.restore(other.maxRateByKind(), confidence);
         }
-        list.hosts.forEach(
-                host -> host.restore(other.nodes().get(host.id), 0)); // the ranks first, as they decide who is a member
+        // The ranks come first, as they decide which nodes are members.
+        list.hosts.forEach(host -> host.restore(other.nodes().get(host.id), 0));
         subset.restore((int)
                 other.nodes().values().stream().filter(node -> node.share() > 0).count());
         fillSubset();
@@ -478,8 +487,8 @@
             // A failure counts as if it had taken its whole timeout; otherwise a node that fails at once attracts load.
             latencyMs = Math.max(elapsedMs, attempt.timeoutMs);
             if (outcome == Outcome.TIMEOUT) {
-                statistics.moveTypical(
-                        latencyMs, MIN_MEDIAN_STEP); // otherwise an overloaded fleet, all timeouts, looks quiet
+                // Without this, an overloaded fleet in which every attempt times out would look quiet.
+                statistics.moveTypical(latencyMs, MIN_MEDIAN_STEP);
             } else if (outcome != Outcome.CONNECT_FAILED) {
                 host.lastResponseMs = nowMs;
             }
@@ -489,7 +498,11 @@
         // The limit prevents queues at nodes and keeps load off congested
         // ones; a member that has reached it is excluded.
         host.concurrency.answered(
-                nowMs, latencyMs, statistics.quietMs(), statistics.typicalMs(), subset.minWindow(list.hosts.size()));
+                nowMs,
+                latencyMs,
+                statistics.quietMs(),
+                statistics.typicalMs(),
+                subset.minConcurrency(list.hosts.size()));
         if (outcome != Outcome.OK) {
             host.concurrency.failed(nowMs, elapsedMs, statistics.typicalMs());
         }
@@ -534,7 +547,8 @@
         Call call = calls.get(request);
         Attempt started = call == null ? null : call.attempt(attempt);
         if (started != null && started.outcome == null && !call.streaming) {
-            call.streaming = true; // from here on the duration does not depend on the node alone
+            // How long the stream lasts says nothing about the node's latency.
+            call.streaming = true;
             started.host.attempts.remove(started);
             recordOutcome(nowMs, started, Outcome.OK, elapsedMs);
             cancelOthers(call, started);
@@ -696,8 +710,8 @@
             } else if (probesPerAttempt > 0) {
                 probe(host);
             } else if (!settings.anySafe()) {
-                host.setAsideReason =
-                        null; // nothing may serve as a trial, and the node must not stay set aside for good
+                // Nothing may serve as a trial, and the node must not stay set aside indefinitely.
+                host.setAsideReason = null;
             }
         }
         return null;
--- a/src/main/java/ivybank/subsetting/SubsetSize.java
+++ b/src/main/java/ivybank/subsetting/SubsetSize.java
@@ -87,9 +87,13 @@
 
     private final IntSupplier sidecars;
     private int countedSidecars;
-    private int defaultSize = DEFAULT_SIZE;
+    /** The size without growth, for the number of nodes and sidecars at the last update. */
+    private int baseSize = DEFAULT_SIZE;
+
     private int size = DEFAULT_SIZE;
+    /** Moving average of the requests that would be in flight if the nodes were quiet. */
     private double quietInFlight;
+
     private double firstRequestMs = Double.NaN;
     private double lastRequestMs;
     private int lastGrowth;
@@ -113,17 +117,17 @@
     }
 
     /** Returns this sidecar's part of the attempts that a node can serve, if {@code listed} nodes and all sidecars were alike. */
-    public double minWindow(int listed) {
+    public double minConcurrency(int listed) {
         return MIN_ATTEMPTS_PER_NODE * Math.max(1, listed / (double) size) / sidecars.getAsInt();
     }
 
     /** Adjusts the size to the current number of sidecars and returns how many of {@code ready} nodes to balance over. */
     public int update(int ready) {
-        int before = defaultSize;
+        int before = baseSize;
         countedSidecars = sidecars.getAsInt();
-        defaultSize = (int)
+        baseSize = (int)
                 Math.max(MIN_SIZE, Math.min(DEFAULT_SIZE, Math.ceil(SIDECARS_PER_NODE * ready / countedSidecars)));
-        size = size == before ? defaultSize : Math.max(size, defaultSize);
+        size = size == before ? baseSize : Math.max(size, baseSize);
         return Math.min(size, ready);
     }
 
@@ -143,7 +147,7 @@
         // At the start the traffic has been observed for less than the averaging window.
         double observed = 1 - Math.exp(-(lastRequestMs - firstRequestMs) / TRAFFIC_WINDOW_MS);
         double mean = Double.isNaN(firstRequestMs) ? 0 : quietInFlight / Math.max(MIN_OBSERVED_FRACTION, observed);
-        return (int) Math.max(defaultSize, Math.ceil(mean + HEADROOM_DEVIATIONS * Math.sqrt(mean)));
+        return (int) Math.max(baseSize, Math.ceil(mean + HEADROOM_DEVIATIONS * Math.sqrt(mean)));
     }
 
     /** Records whether a request found a member with free capacity. */
@@ -241,7 +245,7 @@
                 ? (int) Math.ceil(EXCESS_REDUCTION * size)
                 : overloaded ? (int) Math.ceil(OVERLOAD_REDUCTION * size) : calmTicks > MIN_CALM_TICKS ? 1 : 0;
         int before = size;
-        size = Math.min(size, Math.max(defaultSize, size - reduction));
+        size = Math.min(size, Math.max(baseSize, size - reduction));
         return size < before || sidecars.getAsInt() != countedSidecars;
     }
 }
--- a/src/test/java/ivybank/subsetting/SubsetSizeTest.java
+++ b/src/test/java/ivybank/subsetting/SubsetSizeTest.java
@@ -263,6 +263,6 @@
         sidecars = 100;
         assertTrue(subset.tick(true, NODES), "the size has to be computed again");
         assertEquals(6, subset.update(NODES));
-        assertEquals(8 * 10 / 100.0, subset.minWindow(NODES), 1e-9);
+        assertEquals(8 * 10 / 100.0, subset.minConcurrency(NODES), 1e-9);
     }
 }
