--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -101,7 +101,7 @@
         LearnedState<Integer> learned = previous.balancer.learned();
         next.balancer.recall(new LearnedState<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
         assertEquals(3, next.balancer.learned().nodes().size());
-        assertEquals(1, next.balancer.learned().admittedShare(), "of other classes");
+        assertEquals(1, next.balancer.learned().admittedShare(), "state of other classes is ignored");
         sendRequests(next, 1000);
         assertEquals(List.of(), next.violations);
     }
@@ -113,22 +113,22 @@
         next.nowMs = previous.nowMs;
         next.listReady(14);
         next.balancer.recall(previous.balancer.learned(), 1);
-        double windows = 0;
+        double limits = 0;
         for (LearnedState.NodeState node : previous.balancer.learned().nodes().values()) {
-            windows += node.share() > 0 ? Math.max(1, node.window()) : 0;
+            limits += node.share() > 0 ? Math.max(1, node.window()) : 0;
         }
         Map<Integer, Integer> all = new java.util.HashMap<>();
         previous.balancer.learned().nodes().forEach((id, node) -> all.put(id, (int) Math.ceil(node.window())));
         next.balancer.setSiblingLoad(all, 0.1);
-        for (int i = 0; i < windows; i++) {
+        for (int i = 0; i < limits; i++) {
             next.request(0);
         }
         assertTrue(next.sent.isEmpty(), "sent " + next.sent.size() + " although the other process uses all capacity");
         next.balancer.setSiblingLoad(Map.of(), 1);
         next.advance(500);
-        for (int i = 0; i < windows; i++) {
+        for (int i = 0; i < limits; i++) {
             next.request(0);
         }
-        assertTrue(next.sent.size() > 0.5 * windows, "sent " + next.sent.size());
+        assertTrue(next.sent.size() > 0.5 * limits, "sent " + next.sent.size());
     }
 }
--- a/src/test/java/ivybank/subsetting/SubsetSizeTest.java
+++ b/src/test/java/ivybank/subsetting/SubsetSizeTest.java
@@ -80,9 +80,9 @@
         assertEquals(10, new SubsetSize(() -> 100).update(200));
         assertEquals(6, new SubsetSize(() -> 10_000).update(60), "with fewer nodes latencies cannot be compared");
         assertEquals(3, new SubsetSize(() -> 10_000).update(3));
-        SubsetSize one = new SubsetSize(() -> 100);
-        one.update(60);
-        assertEquals(10, one.update(200), "it follows the list while it has its default size");
+        SubsetSize other = new SubsetSize(() -> 100);
+        other.update(60);
+        assertEquals(10, other.update(200), "it follows the list while it has its default size");
     }
 
     @Test
