--- a/src/main/java/ivybank/policy/Attempt.java
+++ b/src/main/java/ivybank/policy/Attempt.java
@@ -1,21 +1,21 @@
 package ivybank.policy;
 
-/** What {@link LoadShiftingBalancer} remembers of one attempt. */
+/** The state that {@link LoadShiftingBalancer} keeps of one attempt. */
 final class Attempt {
 
     final Call call;
     final int number;
     final Host host;
-    /** The list entry at the time: it names the group that drops repeats. */
+    /** The node's list entry when the attempt was sent; it identifies the group that drops repeats. */
     final Balancer.Upstream sentTo;
 
     double sentMs;
     final double timeoutMs;
-    private boolean loads;
-    /** Null while it is out. */
+    private boolean countsAsLoad;
+    /** Null while the attempt is in flight. */
     Balancer.Outcome outcome;
-    /** Whether it has been counted as late or timely. */
-    boolean counted;
+    /** Whether the attempt has been counted as late or in time. */
+    boolean latenessCounted;
 
     Attempt(Call call, Host host, double sentMs, double timeoutMs) {
         this.call = call;
@@ -26,34 +26,37 @@
         this.timeoutMs = timeoutMs;
     }
 
-    /** Notes it as out with its request and its server. */
-    void begin() {
+    /** Adds the attempt to those in flight of its request and, unless the request is still arriving, of its node. */
+    void register() {
         call.attempts.add(this);
-        call.out++;
+        call.attemptsInFlight++;
         if (!call.arriving) {
-            load(sentMs);
+            countAsLoad(sentMs);
         }
     }
 
-    /** From now on it is its server's load: one whose request is still arriving waits for nothing there. */
-    void load(double nowMs) {
+    /**
+     * Counts the attempt as load of its node from now on. One whose request is still arriving does not count, as the node cannot
+     * begin it yet.
+     */
+    void countAsLoad(double nowMs) {
         sentMs = nowMs;
-        loads = true;
+        countsAsLoad = true;
         host.attempts.addLast(this);
-        host.concurrency.sent(nowMs, call.view.typicalMs());
-        host.held++;
+        host.concurrency.sent(nowMs, call.statistics.typicalMs());
+        host.activeRequests++;
     }
 
     void end(Balancer.Outcome ended) {
         outcome = ended;
-        call.out--;
+        call.attemptsInFlight--;
         host.attempts.remove(this);
-        if (loads) {
+        if (countsAsLoad) {
             host.concurrency.ended();
         }
     }
 
-    double age(double nowMs) {
+    double ageMs(double nowMs) {
         return nowMs - sentMs;
     }
 
--- a/src/main/java/ivybank/policy/Host.java
+++ b/src/main/java/ivybank/policy/Host.java
@@ -7,40 +7,40 @@
 import ivybank.slowstart.TokenBucket;
 import java.util.ArrayDeque;
 
-/** What {@link LoadShiftingBalancer} remembers of one upstream since its latest start. */
+/** The state that {@link LoadShiftingBalancer} keeps of one upstream since the latest start of its node. */
 final class Host {
 
     final int id;
-    /** Drawn at random when it was first listed. */
+    /** Random number, drawn when the node was first listed; the nodes with the lowest ranks form the subset. */
     double rank;
-    /** What discovery said last. */
+    /** The latest entry from discovery. */
     Balancer.Upstream listed;
-    /** Its part of the draw. */
+    /** The node's fraction of the traffic: its probability in the weighted random draw. */
     double share;
-    /** Its part of the draw at hand: the share, or 0 where it is out of it. */
+    /** The weight in the current draw: the share, or 0 if the node is excluded. */
     double weight;
-    /** Latencies of this tick, each over the typical one of its class. */
+    /** Latencies since the last update of the shares, each divided by the typical latency of its class. */
     final Mean latencies = new Mean();
-    /** What may be out there at once, and what is. */
+    /** The limit on the attempts in flight, and their number. */
     final ConcurrencyLimit concurrency = new ConcurrencyLimit();
-    /** Whether a probe is out, and how many requests it was last known to hold, with those sent since. */
+    /** Whether a probe is in flight. */
     boolean probing;
-
-    double held;
-    /** Attempts still out, oldest first, but for started streams. */
+    /** The requests that the node was working on by its last probe, plus those sent to it since. */
+    double activeRequests;
+    /** The attempts in flight, oldest first, without streams whose answer has begun. */
     final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
-    /** What it may be sent beside its part of the draw while it is cold. */
+    /** Limits the requests that the node is sent on top of its share while it is cold. */
     final TokenBucket tokens = new TokenBucket();
 
-    double heardMs;
-    int failures;
-    /** Why it is set aside; null while it is not. */
-    String setAside;
+    double lastResponseMs;
+    int consecutiveFailures;
+    /** Why the node is set aside (excluded after silence or failures); null while it is not. */
+    String setAsideReason;
 
-    double trialAtMs;
-    double trialGapMs;
-    /** Whether staff were told that it is set aside. */
-    boolean announced;
+    double nextTrialMs;
+    double trialIntervalMs;
+    /** Whether it was logged that the node is set aside. */
+    boolean setAsideLogged;
 
     Host(Balancer.Upstream listed, double rank) {
         this.rank = rank;
@@ -48,12 +48,12 @@
         this.listed = listed;
     }
 
-    boolean ready() {
+    boolean isReady() {
         return listed.status() == Balancer.Status.READY;
     }
 
-    /** The part of its capacity that the contract lets one expect by now. */
-    double warmth(double nowMs, Balancer.Contract contract) {
+    /** Returns the fraction of the node's capacity that is available by now according to the contract. */
+    double warmFraction(double nowMs, Balancer.Contract contract) {
         double ageMs = nowMs - listed.startedMs();
         if (listed.startedMs() <= 0 || ageMs >= contract.coldMs()) {
             return 1;
@@ -62,7 +62,7 @@
     }
 
     boolean isCold(double nowMs, Balancer.Contract contract) {
-        return warmth(nowMs, contract) < 1;
+        return warmFraction(nowMs, contract) < 1;
     }
 
     LearnedState.NodeState learned(boolean member) {
@@ -72,15 +72,18 @@
                 member ? share : 0,
                 concurrency.size(),
                 concurrency.inFlight(),
-                setAside != null);
+                setAsideReason != null);
     }
 
-    /** Keeps its place in the random order also over a restart, the rest only within one life. */
-    void recall(LearnedState.NodeState other, double trust) {
-        rank = other == null ? rank : other.rank();
-        if (other != null && other.share() > 0 && Confidence.isSameIncarnation(other, listed.startedMs())) {
-            share = Confidence.blend(share, other.share(), trust);
-            concurrency.reset(Confidence.blend(concurrency.size(), other.window(), trust));
+    /**
+     * Takes over what another process has learned of the node. The rank holds across restarts of the node; the rest only if the
+     * node has not restarted since.
+     */
+    void restore(LearnedState.NodeState learned, double confidence) {
+        rank = learned == null ? rank : learned.rank();
+        if (learned != null && learned.share() > 0 && Confidence.isSameIncarnation(learned, listed.startedMs())) {
+            share = Confidence.blend(share, learned.share(), confidence);
+            concurrency.reset(Confidence.blend(concurrency.size(), learned.window(), confidence));
         }
     }
 
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -14,38 +14,72 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Load shifting by latency-equalising shares, behind {@code Balancer.java}: first the ordinary path. */
+/**
+ * A {@link Balancer} that shifts load between nodes until their latencies are equal. It balances over a random subset of the
+ * nodes. Each request goes to a member of the subset, drawn at random in proportion to the members' shares, and shares move
+ * from members with above-average latency to the others. The other mechanisms depart from this path under conditions of their
+ * own: probes, slow start of cold nodes, waiting and shedding under load, nodes that are set aside, and hedged attempts.
+ */
 public final class LoadShiftingBalancer implements Balancer {
 
-    private static final double STEP = 0.2; // of a share, for a deviation of one mean in a tick: the paper's
-    private static final double TICK_MS = 1000; // many answers fall into it, and moved load shows within it
-    private static final double MOST_DEVIATION = 2; // in means: a factor is never under 1 - 0.2 x 2
-    private static final double HALF_TRUST = 4; // samples at which the mean of a tick counts half
-    private static final double LEAST_SHARE = 0.1; // of the mean share, so that each member is still seen
-    private static final double MEDIAN_STEP = 0.02; // what one answer moves a running median
-    private static final double FIRST_TYPICAL = 4; // of them in an aim, before any answer is known
-    private static final double SMOOTHING = 32; // answers over which a server's latency is smoothed
-    private static final double FORGET = 0.005; // of the quiet latency in a tick: machines change
-    private static final int STREAK = 3; // failures or slow answers in a row that are hardly chance
-    private static final double SILENCE = 6; // typical latencies that tell; half that where several are out
-    private static final double LONGEST_GAP_MS = 4000; // between trials: a fault lasts for seconds
-    private static final double COLD_PART = 0.6; // of the contract's overload factor: bursts fill the rest
-    private static final double EXTRA = 0.25; // further attempts and second copies for each request
-    private static final double EXTRA_SAVED = 20; // of them that may be saved up
-    private static final double REPEAT_WORTH = 0.1; // of a first try: the aim has run since that
-    private static final double FADE = 0.02; // of what was offered and served that is forgotten in a tick
-    private static final double PROBES_WORTH = 0.02; // of a request's worth, for the probes of one attempt
-    private static final double LONGEST_WAIT = 0.3; // of a typical latency: it holds a client's connection
-    private static final double LATE = 0.75; // of the aim: a request that takes longer is about to be lost
-    private static final double TOLERATED = 1 / 3.0; // of the attempts late: the sick servers'
-    private static final double CUT = 0.75; // of what is admitted, in an aim in which all is late
-    private static final double RAISE = 1.15; // of what is admitted, in an aim without that
-    private static final double LEAST_ADMITTED = 0.05; // so that something is heard of the servers
-    private static final double TICKS_IN_AIM = 16; // control ticks within the shortest aim
+    /** Relative change of a share per update, for a latency that deviates from the mean by one mean; from the paper. */
+    private static final double SHARE_STEP = 0.2;
+    /** Long enough for many answers, and for the effect of moved load to show. */
+    private static final double SHARE_INTERVAL_MS = 1000;
+    /** Largest deviation that counts, in means; a share is never multiplied by less than 1 - 0.2 x 2. */
+    private static final double MAX_DEVIATION = 2;
+    /** Number of samples in an update at which their mean has half its weight. */
+    private static final double HALF_WEIGHT_SAMPLES = 4;
+    /** Smallest share, as a fraction of the mean share, so that each member still gets some requests. */
+    private static final double MIN_PART_OF_MEAN_SHARE = 0.1;
+    /** Smallest relative step of a running median per answer. */
+    private static final double MIN_MEDIAN_STEP = 0.02;
+    /** How often the typical latency fits into the aim, as assumed before there are answers. */
+    private static final double INITIAL_LATENCIES_PER_AIM = 4;
+    /** Number of answers of a class after which its quiet latency follows the typical one. */
+    private static final double SMOOTHING_ANSWERS = 32;
+    /** Relative rise of the quiet latency per update, as machines change. */
+    private static final double QUIET_LATENCY_DECAY = 0.005;
+    /**
+     * Number of failures in a row that is unlikely to be chance; also the mean number of samples per member from which an update
+     * counts as well sampled.
+     */
+    private static final int SIGNIFICANT_COUNT = 3;
+    /** Silence of a node that is significant, in typical latencies; half of it if several attempts are in flight. */
+    private static final double SILENCE_LATENCIES = 6;
+    /** Longest pause between trials of a node that is set aside; faults last for seconds. */
+    private static final double MAX_TRIAL_INTERVAL_MS = 4000;
+    /** Fraction of the contract's overload factor that a cold node is loaded to; bursts fill the rest. */
+    private static final double COLD_LOAD_FACTOR = 0.6;
+    /** Further attempts, retries and hedges, that each request adds to the budget. */
+    private static final double RETRY_BUDGET_PER_REQUEST = 0.25;
+
+    private static final double MAX_RETRY_BUDGET = 20;
+    /** Value of a client's retry, as a fraction of a first try's; its aim has been running since the first try. */
+    private static final double CLIENT_RETRY_WORTH = 0.1;
+    /** Fraction of the counts of offered and served requests that is dropped per update. */
+    private static final double COUNT_DECAY = 0.02;
+    /** Cost of the probes of one attempt, at most, as a fraction of the worth of a request. */
+    private static final double MAX_PROBE_COST = 0.02;
+    /** Longest wait in a queue, in typical latencies; a waiting request occupies a connection of the client. */
+    private static final double MAX_WAIT_LATENCIES = 0.3;
+    /** Fraction of the aim after which an attempt counts as late; a request that takes longer is about to miss its aim. */
+    private static final double LATE_PART_OF_AIM = 0.75;
+    /** Fraction of late attempts that does not reduce admission; it allows for single faulty nodes. */
+    private static final double TOLERATED_LATE_FRACTION = 1 / 3.0;
+    /** Fraction by which admission is reduced per aim if all attempts are late. */
+    private static final double ADMISSION_CUT = 0.75;
+    /** Factor by which admission is raised per aim without excess lateness. */
+    private static final double ADMISSION_RAISE = 1.15;
+    /** Smallest admitted fraction, so that answers still show the state of the nodes. */
+    private static final double MIN_ADMITTED_FRACTION = 0.05;
+    /** Number of control ticks within the shortest aim. */
+    private static final double CONTROL_TICKS_PER_AIM = 16;
+
     private static final int CONTROL_TIMER = 1;
     private static final int SUBSCRIBE_TIMER = 2;
 
-    /** Why a request is given up: more than is admitted, no room or no time left, or its attempts failed. */
+    /** Why a request is abandoned: not admitted, no free capacity, no time left, or its attempts failed. Names are logged. */
     private enum Cause {
         ADMISSION,
         ROOM,
@@ -56,86 +90,100 @@
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
-    private final double controlMs;
-    private final List<ClassView> classes = new ArrayList<>();
+    private final double controlIntervalMs;
+    private final List<ClassStatistics> classes = new ArrayList<>();
     private final HostList list = new HostList();
     private final List<Host> members = list.members;
     private final Map<Integer, Call> calls = new HashMap<>();
-    private final RankedQueues<Call> waiting;
-    private final List<Call> asking = new ArrayList<>();
-    private final int heldField;
-    private final int busyField;
-    private final int probes; // for each attempt
+    private final RankedQueues<Call> waitingCalls;
+    private final List<Call> probingCalls = new ArrayList<>();
+    /** Index of the active requests in load reports, negative if they are not reported. */
+    private final int activeField;
+    /** Index of the CPU utilisation in load reports, negative if it is not reported. */
+    private final int cpuField;
+
+    private final int probesPerAttempt;
     private final SubsetSize subset;
-    private boolean controlArmed;
-    private boolean subscribeArmed;
+    private boolean controlTimerSet;
+    private boolean subscribeTimerSet;
     private int subscribeFailures;
-    private double nextShareTickMs;
+    private double nextShareUpdateMs;
     private final ColdNodeRateLimiter coldNodeRates = new ColdNodeRateLimiter();
+    /** By queue, the number of requests received; older ones count less. */
     private final double[] offered;
-    private final double[] refusedPart; // of each queue, at once
-    private double admit = 1;
-    private double nextAdmissionMs;
-    private double late;
-    private double known; // attempts, late or timely; older ones count less
-    private boolean dense; // enough answers of each member in the last tick
-    private double extra = EXTRA_SAVED / 2;
-    private final Map<Cause, Integer> givenUp = new EnumMap<>(Cause.class); // in this tick
+    /** By queue, the fraction of requests that is refused on arrival. */
+    private final double[] refusedFraction;
+
+    private double admittedFraction = 1;
+    private double nextAdmissionUpdateMs;
+    private double lateAttempts;
+    /** The number of attempts counted as late or in time; older ones count less. */
+    private double judgedAttempts;
+    /** Whether there were enough samples per member at the last update of the shares. */
+    private boolean enoughSamples;
+    /** Attempts beyond the first ones of requests, retries and hedges, that may be sent now. */
+    private double retryBudget = MAX_RETRY_BUDGET / 2;
+    /** The number of requests abandoned since the last update of the shares, by cause. */
+    private final Map<Cause, Integer> abandonedCalls = new EnumMap<>(Cause.class);
 
     public LoadShiftingBalancer(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         subset = new SubsetSize(() -> actions.sidecars(settings.sidecars()));
         this.random = new SplittableRandom(seed);
-        settings.classes().forEach(spec -> classes.add(new ClassView(spec, spec.aimMs() / FIRST_TYPICAL)));
-        waiting = new RankedQueues<>(classes.size());
-        offered = new double[waiting.count()];
-        refusedPart = new double[offered.length];
-        heldField = settings.reportFields().indexOf("active");
-        busyField = settings.reportFields().indexOf("cpu");
-        probes = !settings.limits().probes() || heldField < 0
+        settings.classes()
+                .forEach(spec -> classes.add(new ClassStatistics(spec, spec.aimMs() / INITIAL_LATENCIES_PER_AIM)));
+        waitingCalls = new RankedQueues<>(classes.size());
+        offered = new double[waitingCalls.count()];
+        refusedFraction = new double[offered.length];
+        activeField = settings.reportFields().indexOf("active");
+        cpuField = settings.reportFields().indexOf("cpu");
+        probesPerAttempt = !settings.limits().probes() || activeField < 0
                 ? 0
                 : (int) Math.min(
-                        SubsetSize.USUAL / 2, PROBES_WORTH / settings.goal().probePrice());
-        controlMs = Math.max(settings.tickMs(), settings.shortestAimMs() / TICKS_IN_AIM);
+                        SubsetSize.DEFAULT_SIZE / 2,
+                        MAX_PROBE_COST / settings.goal().probeCost());
+        controlIntervalMs = Math.max(settings.tickMs(), settings.shortestAimMs() / CONTROL_TICKS_PER_AIM);
     }
 
     @Override
     public void start(double nowMs) {
-        nextShareTickMs = nowMs + TICK_MS;
+        nextShareUpdateMs = nowMs + SHARE_INTERVAL_MS;
         if (settings.subscribesToList()) {
             actions.subscribe(true);
         }
     }
 
-    // ---- The ordinary path: each request goes to a member of the subset, drawn in proportion to the shares.
-
+    /** Sends the request to a member of the subset, drawn in proportion to the shares, unless it is refused on arrival. */
     @Override
     public void request(double nowMs, Request request) {
-        ClassView view = classes.get(request.requestClass());
-        // Where late answers are worth nothing, what comes after the aim earns nothing.
-        double worthMs = view.spec.lateWorth() == 0 ? view.spec.aimMs() : request.timeoutMs();
-        double usefulUntilMs = nowMs + Math.min(request.timeoutMs(), worthMs) - 2 * settings.tickMs();
-        // Where clients do not mark repeats, less patience than others have is the sign of a later try.
-        view.longestTryMs = Math.max(view.longestTryMs, request.timeoutMs());
-        boolean repeat = request.repeat()
-                || !settings.repeatsMarked() && request.timeoutMs() < view.longestTryMs - settings.tickMs();
-        int queue = waiting.queue(request.requestClass(), repeat);
-        Call call = new Call(request.id(), view, queue, repeat, usefulUntilMs);
+        ClassStatistics statistics = classes.get(request.requestClass());
+        // If late answers are worth nothing, an answer is useful only within the aim.
+        double usefulMs = statistics.spec.lateWorth() == 0 ? statistics.spec.aimMs() : request.timeoutMs();
+        double usefulUntilMs = nowMs + Math.min(request.timeoutMs(), usefulMs) - 2 * settings.tickMs();
+        // If clients do not mark retries, a shorter timeout than that of other requests indicates a retry.
+        statistics.longestTimeoutMs = Math.max(statistics.longestTimeoutMs, request.timeoutMs());
+        boolean clientRetry = request.clientRetry()
+                || !settings.clientsMarkRetries()
+                        && request.timeoutMs() < statistics.longestTimeoutMs - settings.tickMs();
+        int queue = waitingCalls.queue(request.requestClass(), clientRetry);
+        Call call = new Call(request.id(), statistics, queue, clientRetry, usefulUntilMs);
         call.arriving = request.arriving();
-        view.offered++;
+        statistics.offered++;
         offered[queue]++;
-        subset.asked(nowMs, repeat ? 0 : Math.min(view.quietMs(), view.spec.aimMs() / FIRST_TYPICAL));
+        subset.requestReceived(
+                nowMs,
+                clientRetry ? 0 : Math.min(statistics.quietMs(), statistics.spec.aimMs() / INITIAL_LATENCIES_PER_AIM));
         calls.put(call.id, call);
-        extra = Math.min(EXTRA_SAVED, extra + EXTRA);
-        if (!controlArmed) {
-            actions.timer(controlMs, CONTROL_TIMER);
+        retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRY_BUDGET_PER_REQUEST);
+        if (!controlTimerSet) {
+            actions.timer(controlIntervalMs, CONTROL_TIMER);
         }
-        controlArmed = true;
-        if (random.nextDouble() >= refusedPart[queue]) {
-            place(nowMs, call);
+        controlTimerSet = true;
+        if (random.nextDouble() >= refusedFraction[queue]) {
+            route(nowMs, call);
         } else {
-            giveUp(call, Cause.ADMISSION);
+            abandon(call, Cause.ADMISSION);
         }
     }
 
@@ -145,86 +193,94 @@
         if (call != null && call.arriving) {
             call.arriving = false;
             call.usefulUntilMs = nowMs + timeoutMs;
-            call.attempts.stream().filter(attempt -> attempt.outcome == null).forEach(attempt -> attempt.load(nowMs));
+            call.attempts.stream()
+                    .filter(attempt -> attempt.outcome == null)
+                    .forEach(attempt -> attempt.countAsLoad(nowMs));
         }
     }
 
-    private void place(double nowMs, Call call) {
-        if (call.usefulUntilMs - nowMs <= call.view.typicalMs() / 2) {
-            giveUp(call, Cause.TIME); // to earn, and perhaps to be answered in time after an attempt
-        } else if (probes > 0 && call.asked.isEmpty() && ask(nowMs, call)) {
-            asking.add(call);
-        } else if ((!waiting.isEmpty() || !dispatch(nowMs, call)) && !shed(nowMs, call)) {
+    /** Sends the request, lets it wait for probes or for free capacity, or abandons it. */
+    private void route(double nowMs, Call call) {
+        if (call.usefulUntilMs - nowMs <= call.statistics.typicalMs() / 2) {
+            abandon(call, Cause.TIME); // too little time left for a useful answer
+        } else if (probesPerAttempt > 0 && call.probedHosts.isEmpty() && probeCandidates(nowMs, call)) {
+            probingCalls.add(call);
+        } else if ((!waitingCalls.isEmpty() || !tryDispatch(nowMs, call)) && !abandonIfHopeless(nowMs, call)) {
             call.waitingSinceMs = nowMs;
-            waiting.add(call.queue, call);
+            waitingCalls.add(call.queue, call);
         }
     }
 
-    private boolean dispatch(double nowMs, Call call) {
+    private boolean tryDispatch(double nowMs, Call call) {
         Host trial = trialHost(nowMs, call);
-        Host host = trial != null ? trial : pick(nowMs, call);
+        Host host = trial != null ? trial : pickHost(nowMs, call);
         if (host == null) {
             return false;
         }
-        double mostMs = trial == null ? Double.MAX_VALUE : SILENCE * call.view.typicalMs();
-        send(nowMs, call, host, Math.min(mostMs, call.usefulUntilMs - nowMs));
+        double maxTimeoutMs = trial == null ? Double.MAX_VALUE : SILENCE_LATENCIES * call.statistics.typicalMs();
+        send(nowMs, call, host, Math.min(maxTimeoutMs, call.usefulUntilMs - nowMs));
         return true;
     }
 
-    private Host pick(double nowMs, Call call) {
+    private Host pickHost(double nowMs, Call call) {
         Host host = coldHost(nowMs, call);
         if (host == null) {
-            weigh(nowMs, call, false);
-            host = call.asked.isEmpty()
-                    ? list.at(random.nextDouble())
-                    : call.asked.stream()
-                            .filter(asked -> asked.weight > 0 && members.contains(asked))
-                            .filter(asked -> asked.held * call.view.quietMs() < call.usefulUntilMs - nowMs)
-                            .min(Comparator.comparingDouble(asked -> asked.held))
+            setWeights(nowMs, call, false);
+            host = call.probedHosts.isEmpty()
+                    ? list.memberAt(random.nextDouble())
+                    : call.probedHosts.stream()
+                            .filter(probed -> probed.weight > 0 && members.contains(probed))
+                            .filter(probed ->
+                                    probed.activeRequests * call.statistics.quietMs() < call.usefulUntilMs - nowMs)
+                            .min(Comparator.comparingDouble(probed -> probed.activeRequests))
                             .orElse(null);
         }
-        subset.offered(host != null);
-        if (host == null && call.asked.isEmpty()) { // what the warm ones have no room for
-            weigh(nowMs, call, true);
-            host = list.at(random.nextDouble());
+        subset.memberOffered(host != null);
+        if (host == null && call.probedHosts.isEmpty()) { // no warm node has free capacity
+            setWeights(nowMs, call, true);
+            host = list.memberAt(random.nextDouble());
         }
         return host;
     }
 
-    private void weigh(double nowMs, Call call, boolean cold) {
+    /** Sets the weight of each member for this request: its share, or 0 if it is excluded. */
+    private void setWeights(double nowMs, Call call, boolean cold) {
         boolean allTried = members.stream().allMatch(call::tried);
-        // Never most of the subset: that many are not all at fault.
+        // Nodes that are set aside are not avoided if they are most of the subset: that many are not all faulty.
         boolean avoid =
-                2 * members.stream().filter(host -> host.setAside != null).count() <= members.size();
+                2 * members.stream().filter(host -> host.setAsideReason != null).count() <= members.size();
         for (Host host : members) {
-            boolean out = avoid && host.setAside != null
+            boolean excluded = avoid && host.setAsideReason != null
                     || !allTried && call.tried(host)
                     || (cold
-                            ? !host.tokens.has(
-                                    nowMs, coldNodeRates.allowedPerMs(host.listed.kind(), coldPart(nowMs, host, call)))
+                            ? !host.tokens.hasToken(
+                                    nowMs,
+                                    coldNodeRates.allowedPerMs(host.listed.kind(), coldLoadFraction(nowMs, host, call)))
                             : host.isCold(nowMs, settings.contract()))
-                    || !call.mayGoTo(host, nowMs)
+                    || !call.mayBeSentTo(host, nowMs)
                     || host.concurrency.isFull(nowMs);
-            host.weight = out ? 0 : host.share;
+            host.weight = excluded ? 0 : host.share;
         }
     }
 
-    // ---- Probes. Guards against queues that a sidecar of few requests can't see. Acts where a probe tells
-    // what a server holds, and costs little: a request draws several members by share, probes them, and goes
-    // to the one that holds least, the first drawn of equals. It waits for a control tick at most.
-
-    private boolean ask(double nowMs, Call call) {
-        weigh(nowMs, call, false);
-        for (int i = 0; i < probes; i++) {
-            Host host = list.at(random.nextDouble());
+    /**
+     * Draws candidates for a request by share, probes them and returns whether there are any. The request then goes to the one
+     * that is working on the fewest requests, among equals the one drawn first, and waits for the probes for a control interval
+     * at most. Probes show queues that a sidecar with few requests cannot see. They are used only if their answers report the
+     * requests that a node is working on, and if they cost little.
+     */
+    private boolean probeCandidates(double nowMs, Call call) {
+        setWeights(nowMs, call, false);
+        for (int i = 0; i < probesPerAttempt; i++) {
+            Host host = list.memberAt(random.nextDouble());
             if (host != null) {
-                call.asked.add(host);
+                call.probedHosts.add(host);
                 host.weight = 0;
                 probe(host);
             }
         }
-        call.askedMs = nowMs;
-        return !call.asked.isEmpty();
+        call.probedAtMs = nowMs;
+        return !call.probedHosts.isEmpty();
     }
 
     private void probe(Host host) {
@@ -239,141 +295,157 @@
         Host host = list.find(upstream);
         if (host != null) {
             host.probing = false;
-            host.held = report.length > heldField ? report[heldField] : Double.MAX_VALUE;
-            note(nowMs, host, outcome == Outcome.OK);
+            host.activeRequests = report.length > activeField ? report[activeField] : Double.MAX_VALUE;
+            recordHealth(nowMs, host, outcome == Outcome.OK);
         }
-        placeAsked(nowMs);
+        routeProbedCalls(nowMs);
     }
 
-    private void placeAsked(double nowMs) {
-        for (Call call : List.copyOf(asking)) {
-            if (nowMs - call.askedMs >= controlMs || call.asked.stream().noneMatch(host -> host.probing)) {
-                asking.remove(call);
-                place(nowMs, call);
+    private void routeProbedCalls(double nowMs) {
+        for (Call call : List.copyOf(probingCalls)) {
+            if (nowMs - call.probedAtMs >= controlIntervalMs
+                    || call.probedHosts.stream().noneMatch(host -> host.probing)) {
+                probingCalls.remove(call);
+                route(nowMs, call);
             }
         }
     }
 
     private void send(double nowMs, Call call, Host host, double timeoutMs) {
-        new Attempt(call, host, nowMs, timeoutMs).begin();
-        call.asked.clear();
+        new Attempt(call, host, nowMs, timeoutMs).register();
+        call.probedHosts.clear();
         host.tokens.take();
         actions.send(call.id, host.id, timeoutMs);
     }
 
-    /** The design's step: D <- D (1 + eta F l) for members with samples in this tick, then renormalised. */
-    private void shiftShares(double nowMs) {
+    /**
+     * Applies the step of the load-shifting algorithm, D &lt;- D (1 + eta F l), to the shares of members with samples since the last
+     * update, then normalises the shares.
+     */
+    private void updateShares(double nowMs) {
         for (Host host : members) {
-            // A hung server answers nothing: what is out for longer than usual counts by its age.
+            // A hung node gives no answers, so attempts in flight for longer than usual count with their age.
             host.attempts.stream()
-                    .mapToDouble(attempt -> attempt.age(nowMs) / attempt.call.view.typicalMs())
+                    .mapToDouble(attempt -> attempt.ageMs(nowMs) / attempt.call.statistics.typicalMs())
                     .filter(ratio -> ratio > 1)
                     .forEach(host.latencies::add);
         }
-        dense = list.sampled().mapToDouble(host -> host.latencies.count()).sum() >= STREAK * members.size();
-        double mean = list.sampled()
+        enoughSamples = list.membersWithSamples()
+                        .mapToDouble(host -> host.latencies.count())
+                        .sum()
+                >= SIGNIFICANT_COUNT * members.size();
+        double mean = list.membersWithSamples()
                 .mapToDouble(host -> host.latencies.mean())
                 .average()
                 .orElse(1);
         for (Host host : members) {
-            if (host.latencies.count() > 0 && mean > 0) { // else 0 / 0 would make every share NaN
+            if (host.latencies.count() > 0 && mean > 0) { // otherwise 0 / 0 would make every share NaN
                 double deviation = (host.latencies.mean() - mean) / mean;
-                double trust = host.latencies.count() / (host.latencies.count() + HALF_TRUST);
-                double factor = 1 - STEP * trust * Math.min(MOST_DEVIATION, deviation);
-                host.share = Math.max(host.share * factor, LEAST_SHARE / members.size());
+                double sampleWeight = host.latencies.count() / (host.latencies.count() + HALF_WEIGHT_SAMPLES);
+                double factor = 1 - SHARE_STEP * sampleWeight * Math.min(MAX_DEVIATION, deviation);
+                host.share = Math.max(host.share * factor, MIN_PART_OF_MEAN_SHARE / members.size());
             }
             host.latencies.clear();
         }
-        list.normalise();
+        list.normaliseShares();
     }
 
-    // The lowest random ranks: one that leaves gives way to a random ready server, at the mean share, and a
-    // new server enters as often as any other, also where nobody leaves.
+    /**
+     * Fills the subset with the ready nodes of the lowest random ranks. A member that leaves is thus replaced by a random node, at
+     * the mean share, and a new node becomes a member as often as any other, even if none leaves.
+     */
     private void fillSubset() {
         List<Host> ready = list.ready();
         ready.sort(Comparator.comparingDouble(host -> host.rank));
-        List<Host> chosen = ready.subList(0, subset.of(ready.size()));
+        List<Host> chosen = ready.subList(0, subset.update(ready.size()));
         members.removeIf(host -> !chosen.contains(host));
-        double meanWeight = chosen.stream()
+        double meanListedWeight = chosen.stream()
                 .mapToDouble(host -> host.listed.weight())
                 .average()
                 .orElse(0);
         double meanShare = members.isEmpty() ? 1 : 1.0 / members.size();
         for (Host host : chosen) {
             if (!members.contains(host)) {
-                host.concurrency.reset(Math.max(1, subset.leastWindow(list.hosts.size())));
-                subset.added(host.id);
-                // As the paper starts: in proportion to the listed size.
-                host.share = meanShare * (meanWeight > 0 ? host.listed.weight() / meanWeight : 1);
+                host.concurrency.reset(Math.max(1, subset.minConcurrency(list.hosts.size())));
+                subset.memberAdded(host.id);
+                // As in the paper, shares start in proportion to the listed weights.
+                host.share = meanShare * (meanListedWeight > 0 ? host.listed.weight() / meanListedWeight : 1);
                 members.add(host);
             }
         }
-        list.normalise();
+        list.normaliseShares();
     }
 
     private void shareTick(double nowMs) {
-        nextShareTickMs = nowMs + TICK_MS;
-        shiftShares(nowMs);
-        classes.forEach(view -> view.tick(1 - FADE, SMOOTHING, FORGET));
+        nextShareUpdateMs = nowMs + SHARE_INTERVAL_MS;
+        updateShares(nowMs);
+        classes.forEach(statistics -> statistics.tick(1 - COUNT_DECAY, SMOOTHING_ANSWERS, QUIET_LATENCY_DECAY));
         if (subset.tick(
-                members.stream().mapToDouble(host -> host.concurrency.spare()).sum() >= 0, list.hosts.size())) {
+                members.stream()
+                                .mapToDouble(host -> host.concurrency.halfHeadroom())
+                                .sum()
+                        >= 0,
+                list.hosts.size())) {
             fillSubset();
         }
-        tellGivenUp(nowMs);
+        logAbandonedCalls(nowMs);
     }
 
-    /** Explains the gaps of a tick: why so many requests were given up, and how much room the members had. */
-    private void tellGivenUp(double nowMs) {
-        if (!givenUp.isEmpty()) {
+    /** Logs why requests were abandoned since the last update, and how many members were full, cold or set aside. */
+    private void logAbandonedCalls(double nowMs) {
+        if (!abandonedCalls.isEmpty()) {
             long full = members.stream()
                     .filter(host -> host.concurrency.isFull(nowMs))
                     .count();
             long cold = members.stream()
                     .filter(host -> host.isCold(nowMs, settings.contract()))
                     .count();
-            long aside = members.stream().filter(host -> host.setAside != null).count();
-            actions.log("given up within " + Math.round(TICK_MS) + " ms: " + givenUp + "; admitting "
-                    + Math.round(100 * admit) + "%; of " + members.size() + " members " + full
+            long aside =
+                    members.stream().filter(host -> host.setAsideReason != null).count();
+            actions.log("given up within " + Math.round(SHARE_INTERVAL_MS) + " ms: " + abandonedCalls + "; admitting "
+                    + Math.round(100 * admittedFraction) + "%; of " + members.size() + " members " + full
                     + " full, " + cold + " cold, " + aside + " set aside");
         }
-        givenUp.clear();
+        abandonedCalls.clear();
     }
 
-    // ---- Another process of this sidecar, before this one or beside it: what it has learned, and what it has out.
-
     @Override
     public LearnedState<Integer> learned() {
         Map<Integer, LearnedState.NodeState> nodes = new HashMap<>();
         list.hosts.forEach(host -> nodes.put(host.id, host.learned(members.contains(host))));
         return new LearnedState<>(
-                admit, extra, classes.stream().map(ClassView::learned).toList(), nodes, coldNodeRates.most());
+                admittedFraction,
+                retryBudget,
+                classes.stream().map(ClassStatistics::learned).toList(),
+                nodes,
+                coldNodeRates.maxRates());
     }
 
     @Override
-    public void recall(LearnedState<Integer> other, double trust) {
+    public void recall(LearnedState<Integer> other, double confidence) {
         if (other.classes().size() == classes.size()) {
-            admit = Confidence.blend(admit, other.admittedShare(), trust);
-            extra = Confidence.blend(extra, Math.min(EXTRA_SAVED, other.extraAttempts()), trust);
-            classes.forEach(view -> view.recall(other.classes().get(classes.indexOf(view)), trust));
-            coldNodeRates.recall(other.maxRateByKind(), trust);
-        }
-        list.hosts.forEach(
-                host -> host.recall(other.nodes().get(host.id), 0)); // the order first: it says who is drawn from
-        subset.recall((int)
+            admittedFraction = Confidence.blend(admittedFraction, other.admittedShare(), confidence);
+            retryBudget = Confidence.blend(retryBudget, Math.min(MAX_RETRY_BUDGET, other.extraAttempts()), confidence);
+            classes.forEach(
+                    statistics -> statistics.restore(other.classes().get(classes.indexOf(statistics)), confidence));
+            coldNodeRates.restore(other.maxRateByKind(), confidence);
+        }
+        // The ranks come first, as they decide which nodes are members.
+        list.hosts.forEach(host -> host.restore(other.nodes().get(host.id), 0));
+        subset.restore((int)
                 other.nodes().values().stream().filter(node -> node.share() > 0).count());
         fillSubset();
-        members.forEach(host -> host.recall(other.nodes().get(host.id), trust));
-        list.normalise();
+        members.forEach(host -> host.restore(other.nodes().get(host.id), confidence));
+        list.normaliseShares();
     }
 
     @Override
-    public void setSiblingLoad(Map<Integer, Integer> out, double part) {
-        list.hosts.forEach(host -> host.concurrency.elsewhere(out.getOrDefault(host.id, 0)));
-        coldNodeRates.own(part);
+    public void setSiblingLoad(Map<Integer, Integer> inFlight, double share) {
+        list.hosts.forEach(host -> host.concurrency.setSiblingInFlight(inFlight.getOrDefault(host.id, 0)));
+        coldNodeRates.setShare(share);
     }
 
-    // ---- Outcomes: what was learnt, and whether the request gets another attempt.
-
+    /** Learns from the outcome and, if the request is still open, sends another attempt or abandons it. */
     @Override
     public void attemptEnded(double nowMs, AttemptEnd end) {
         Call call = calls.get(end.request());
@@ -382,76 +454,84 @@
             return;
         }
         attempt.end(end.outcome());
-        subset.reported(end.upstream(), !attempt.host.isCold(nowMs, settings.contract()), end.report(), busyField);
+        subset.reportReceived(end.upstream(), !attempt.host.isCold(nowMs, settings.contract()), end.report(), cpuField);
         if (!call.streaming) {
-            learn(nowMs, attempt, end.outcome(), end.elapsedMs());
+            recordOutcome(nowMs, attempt, end.outcome(), end.elapsedMs());
         }
-        if (end.requestDone() || call.done) {
-            finish(call);
-        } else if (call.out == 0 && mayResend(nowMs, call)) {
-            extra -= 1;
-            place(nowMs, call);
-        } else if (call.out == 0) {
-            giveUp(call, Cause.ATTEMPTS);
+        if (end.requestCompleted() || call.completed) {
+            complete(call);
+        } else if (call.attemptsInFlight == 0 && mayResend(nowMs, call)) {
+            retryBudget -= 1;
+            route(nowMs, call);
+        } else if (call.attemptsInFlight == 0) {
+            abandon(call, Cause.ATTEMPTS);
         }
-        waiting.offer(held -> dispatch(nowMs, held));
+        waitingCalls.offer(waitingCall -> tryDispatch(nowMs, waitingCall));
     }
 
-    private void learn(double nowMs, Attempt attempt, Outcome outcome, double elapsedMs) {
+    private void recordOutcome(double nowMs, Attempt attempt, Outcome outcome, double elapsedMs) {
         Host host = attempt.host;
-        ClassView view = attempt.call.view;
+        ClassStatistics statistics = attempt.call.statistics;
         double latencyMs = elapsedMs;
-        count(attempt, elapsedMs, outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT);
+        countLateness(attempt, elapsedMs, outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT);
         if (outcome == Outcome.OK) {
-            note(nowMs, host, true);
+            recordHealth(nowMs, host, true);
             if (!host.isCold(nowMs, settings.contract())) {
                 coldNodeRates.answered(nowMs, host.id, host.listed.kind());
             }
-            view.served++;
-            view.answered(latencyMs, MEDIAN_STEP);
-        } else if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED && elapsedMs < view.typicalMs()) {
+            statistics.served++;
+            statistics.answered(latencyMs, MIN_MEDIAN_STEP);
+        } else if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED && elapsedMs < statistics.typicalMs()) {
             return;
         } else if (outcome != Outcome.CANCELLED) {
-            // A failure counts at its time-out: else an upstream that fails at once would draw load.
+            // A failure counts as if it had taken its whole timeout; otherwise a node that fails at once attracts load.
             latencyMs = Math.max(elapsedMs, attempt.timeoutMs);
             if (outcome == Outcome.TIMEOUT) {
-                view.moveTypical(latencyMs, MEDIAN_STEP); // else a jammed fleet, all time-outs, looks quiet
+                // Without this, an overloaded fleet in which every attempt times out would look quiet.
+                statistics.moveTypical(latencyMs, MIN_MEDIAN_STEP);
             } else if (outcome != Outcome.CONNECT_FAILED) {
-                host.heardMs = nowMs;
+                host.lastResponseMs = nowMs;
             }
-            note(nowMs, host, false);
+            recordHealth(nowMs, host, false);
         }
-        host.latencies.add(latencyMs / view.typicalMs());
-        // Room: guards against queues, and against servers that jam. Acts when a member's concurrency limit is reached.
+        host.latencies.add(latencyMs / statistics.typicalMs());
+        // The limit prevents queues at nodes and keeps load off congested
+        // ones; a member that has reached it is excluded.
         host.concurrency.answered(
-                nowMs, latencyMs, view.quietMs(), view.typicalMs(), subset.leastWindow(list.hosts.size()));
+                nowMs,
+                latencyMs,
+                statistics.quietMs(),
+                statistics.typicalMs(),
+                subset.minConcurrency(list.hosts.size()));
         if (outcome != Outcome.OK) {
-            host.concurrency.failed(nowMs, elapsedMs, view.typicalMs());
+            host.concurrency.failed(nowMs, elapsedMs, statistics.typicalMs());
         }
     }
 
+    /** Returns whether the request may be sent once more: budget, attempts and time are left, and a repeat is safe. */
     private boolean mayResend(double nowMs, Call call) {
-        return extra >= 1
+        return retryBudget >= 1
                 && call.attempts.size() < settings.limits().maxAttempts()
-                && call.usefulUntilMs - nowMs >= call.view.typicalMs()
-                && (call.view.spec.effect() != Effect.UNSAFE || call.provenNotRun());
+                && call.usefulUntilMs - nowMs >= call.statistics.typicalMs()
+                && (call.statistics.spec.effect() != Effect.UNSAFE || call.provenNotRun());
     }
 
-    private void giveUp(Call call, Cause cause) {
-        givenUp.merge(cause, 1, Integer::sum);
+    /** Refuses the request if a retry is safe, and fails it otherwise. */
+    private void abandon(Call call, Cause cause) {
+        abandonedCalls.merge(cause, 1, Integer::sum);
         if (call.mayBeRefused()) {
             actions.refuse(call.id, settings.limits().maxRetryAfterMs());
         } else {
             actions.fail(call.id);
         }
-        finish(call);
+        complete(call);
     }
 
-    /** The request is over: what is still out would only cost work, and is remembered until it ends. */
-    private void finish(Call call) {
-        call.done = true;
+    /** Completes the request. Attempts in flight are cancelled, as they would only cost work, and tracked until they end. */
+    private void complete(Call call) {
+        call.completed = true;
         cancelOthers(call, null);
-        if (call.out == 0) {
+        if (call.attemptsInFlight == 0) {
             calls.remove(call.id);
         }
     }
@@ -467,9 +547,10 @@
         Call call = calls.get(request);
         Attempt started = call == null ? null : call.attempt(attempt);
         if (started != null && started.outcome == null && !call.streaming) {
-            call.streaming = true; // it belongs to the client now: its length says nothing of the server
+            // How long the stream lasts says nothing about the node's latency.
+            call.streaming = true;
             started.host.attempts.remove(started);
-            learn(nowMs, started, Outcome.OK, elapsedMs);
+            recordOutcome(nowMs, started, Outcome.OK, elapsedMs);
             cancelOthers(call, started);
         }
     }
@@ -477,171 +558,194 @@
     @Override
     public void clientLeft(double nowMs, int request) {
         Call call = calls.get(request);
-        if (call != null && !call.done) {
-            waiting.remove(call.queue, call);
-            asking.remove(call);
-            finish(call);
+        if (call != null && !call.completed) {
+            waitingCalls.remove(call.queue, call);
+            probingCalls.remove(call);
+            complete(call);
         }
     }
 
-    // ---- Cold servers. Guards against pushing over one that has just started. Acts for the contract's time:
-    // one draw for each request, blind to how the others fare, may hit a cold member, which then takes it for
-    // the part that is warm. So all sidecars together send it that part of its share of the first tries, no
-    // more: nothing is saved up, and what others can't take is never heaped on it.
-
-    /** The cold member that this request goes to, or null; asked once, before its first attempt. */
+    /**
+     * Returns the cold member that this request is sent to, or null. This protects a node that has just started from overload, for
+     * as long as the contract calls it cold. Each request makes one draw before its first attempt, whatever the state of the other
+     * members. If the draw hits a cold member, that takes the request with the probability that {@link #coldLoadFraction} returns. All sidecars
+     * together thus send it that fraction of its share of first tries and no more: no credit accumulates, and requests that other
+     * nodes have no capacity for are not moved to it here.
+     */
     private Host coldHost(double nowMs, Call call) {
-        boolean asked = call.coldAsked || call.repeat || !call.attempts.isEmpty();
-        call.coldAsked = true;
-        if (asked || members.stream().noneMatch(host -> host.isCold(nowMs, settings.contract()))) {
+        boolean noDraw = call.coldDrawMade || call.clientRetry || !call.attempts.isEmpty();
+        call.coldDrawMade = true;
+        if (noDraw || members.stream().noneMatch(host -> host.isCold(nowMs, settings.contract()))) {
             return null;
         }
         members.forEach(host -> host.weight = host.share);
-        Host host = list.at(random.nextDouble());
-        return random.nextDouble() < coldPart(nowMs, host, call) ? host : null;
-    }
-
-    /** The part of what a warm server takes that a cold one may be sent; 0 where it is warm, or this would be late there. */
-    private double coldPart(double nowMs, Host host, Call call) {
-        double warmth = host.warmth(nowMs, settings.contract());
-        // A request that takes the inverse of the warm part longer must still make its aim.
-        boolean inTime = call.view.quietMs() < warmth * (call.usefulUntilMs - nowMs);
-        return warmth < 1 && inTime && host.setAside == null
-                ? warmth * COLD_PART * settings.contract().overloadFactor()
+        Host host = list.memberAt(random.nextDouble());
+        return random.nextDouble() < coldLoadFraction(nowMs, host, call) ? host : null;
+    }
+
+    /**
+     * Returns the load that a cold node may be sent, as a fraction of a warm node's; 0 if the node is warm or set aside, or if the
+     * request would be too late there.
+     */
+    private double coldLoadFraction(double nowMs, Host host, Call call) {
+        double warmFraction = host.warmFraction(nowMs, settings.contract());
+        // At a node with this fraction of its speed the request must still be answered in time.
+        boolean inTime = call.statistics.quietMs() < warmFraction * (call.usefulUntilMs - nowMs);
+        return warmFraction < 1 && inTime && host.setAsideReason == null
+                ? warmFraction * COLD_LOAD_FACTOR * settings.contract().overloadFactor()
                 : 0;
     }
 
-    // ---- Waiting and shedding. Guards against overload. Requests wait while all members are full: worthiest
-    // (then the newest) go first; what could no longer earn is refused. While more than TOLERATED of attempts
-    // are late, a growing part of the least worthy is refused at once.
-
-    private boolean shed(double nowMs, Call call) {
-        boolean hopeless = call.usefulUntilMs - nowMs <= Math.max(controlMs, call.view.typicalMs())
-                || !members.isEmpty() && nowMs - call.waitingSinceMs > LONGEST_WAIT * call.view.typicalMs();
+    /**
+     * Abandons a waiting request that can no longer be answered in time or has waited too long; returns whether it did. Under
+     * overload requests wait while all members are full. Those of the highest value are sent first, and among them the newest.
+     */
+    private boolean abandonIfHopeless(double nowMs, Call call) {
+        boolean hopeless = call.usefulUntilMs - nowMs <= Math.max(controlIntervalMs, call.statistics.typicalMs())
+                || !members.isEmpty() && nowMs - call.waitingSinceMs > MAX_WAIT_LATENCIES * call.statistics.typicalMs();
         if (hopeless) {
-            giveUp(call, Cause.ROOM);
+            abandon(call, Cause.ROOM);
         }
         return hopeless;
     }
 
-    /** Ranks the queues by what an answer adds to the goal: to the whole, and to the class served worst. */
+    /** Ranks the queues by what an answer adds to the goal, for the whole and for the worst-served class; sets what is refused. */
     private void rankQueues() {
-        double worth = Double.MIN_NORMAL
-                + classes.stream().mapToDouble(ClassView::worthOffered).sum();
-        ClassView worst = classes.stream()
-                .min(Comparator.comparingDouble(ClassView::partServed))
+        double totalWorth = Double.MIN_NORMAL
+                + classes.stream().mapToDouble(ClassStatistics::offeredWorth).sum();
+        ClassStatistics worst = classes.stream()
+                .min(Comparator.comparingDouble(ClassStatistics::servedFraction))
                 .get();
         for (int i = 0; i < classes.size(); i++) {
-            ClassView view = classes.get(i);
-            double value = settings.goal().whole() * view.spec.worth() / worth
-                    + (view == worst ? settings.goal().worstClass() / Math.max(view.offered, 1) : 0);
-            waiting.setValue(i, value, REPEAT_WORTH);
+            ClassStatistics statistics = classes.get(i);
+            double value = settings.goal().whole() * statistics.spec.worth() / totalWorth
+                    + (statistics == worst ? settings.goal().worstClass() / Math.max(statistics.offered, 1) : 0);
+            waitingCalls.setValue(i, value, CLIENT_RETRY_WORTH);
         }
-        waiting.rank();
-        double left = admit * Arrays.stream(offered).sum();
-        for (int queue : waiting.order()) {
-            refusedPart[queue] = offered[queue] > 0 ? Math.max(0, 1 - left / offered[queue]) : 0;
-            left = Math.max(0, left - offered[queue]);
+        waitingCalls.rank();
+        double remaining = admittedFraction * Arrays.stream(offered).sum();
+        for (int queue : waitingCalls.order()) {
+            refusedFraction[queue] = offered[queue] > 0 ? Math.max(0, 1 - remaining / offered[queue]) : 0;
+            remaining = Math.max(0, remaining - offered[queue]);
         }
     }
 
+    /**
+     * Adjusts the admitted fraction to the lateness of attempts. While more than the tolerated fraction of them is late, a growing
+     * part of the requests is refused on arrival, those of the lowest value first.
+     */
     private void adjustAdmission() {
-        double excess = (late / (known + 1) - TOLERATED) / (1 - TOLERATED);
-        admit = Math.max(LEAST_ADMITTED, Math.min(1, admit * (excess > 0 ? 1 - CUT * excess : RAISE)));
-        late /= 2;
-        known /= 2;
+        double excess = (lateAttempts / (judgedAttempts + 1) - TOLERATED_LATE_FRACTION) / (1 - TOLERATED_LATE_FRACTION);
+        admittedFraction = Math.max(
+                MIN_ADMITTED_FRACTION,
+                Math.min(1, admittedFraction * (excess > 0 ? 1 - ADMISSION_CUT * excess : ADMISSION_RAISE)));
+        lateAttempts /= 2;
+        judgedAttempts /= 2;
         Arrays.setAll(offered, queue -> offered[queue] * 0.9);
     }
 
-    /** Counts an attempt once: as late when it has taken most of the aim, or as timely. */
-    private void count(Attempt attempt, double tookMs, boolean failed) {
-        boolean isLate = failed || tookMs > attempt.call.view.spec.aimMs() * LATE;
-        boolean tells = isLate || attempt.outcome == Outcome.OK;
-        if (tells && !attempt.counted && probes == 0) { // probes see queues themselves
-            attempt.counted = true;
-            late += isLate ? 1 : 0;
-            known++;
+    /** Counts an attempt once, as late if it failed or has taken most of the aim, or as in time once it is answered. */
+    private void countLateness(Attempt attempt, double elapsedMs, boolean failed) {
+        boolean late = failed || elapsedMs > attempt.call.statistics.spec.aimMs() * LATE_PART_OF_AIM;
+        boolean judged = late || attempt.outcome == Outcome.OK;
+        if (judged
+                && !attempt.latenessCounted
+                && probesPerAttempt == 0) { // with probes, queues at nodes are visible directly
+            attempt.latenessCounted = true;
+            lateAttempts += late ? 1 : 0;
+            judgedAttempts++;
         }
     }
 
-    // ---- Set-asides. Guards against servers that are silent (hung, paused, out of reach) or fail. Acts on
-    // silence of the attempts out, or on failures in a row; they return by an answer, to ever rarer trials.
-
-    private void setAside(double nowMs, Host host, String why) {
-        if (host.setAside == null) {
-            host.setAside = why;
-            host.trialGapMs = probes > 0 || settings.anySafe() ? TICK_MS / 2 : LONGEST_GAP_MS;
-            host.trialAtMs = nowMs + host.trialGapMs;
+    /**
+     * Sets a node aside: it gets no requests but trials, at growing intervals, until it answers one. This protects against nodes
+     * that are silent (hung, paused or unreachable) or fail, and is triggered by silence of the attempts in flight or by
+     * failures in a row.
+     */
+    private void setAside(double nowMs, Host host, String reason) {
+        if (host.setAsideReason == null) {
+            host.setAsideReason = reason;
+            host.trialIntervalMs =
+                    probesPerAttempt > 0 || settings.anySafe() ? SHARE_INTERVAL_MS / 2 : MAX_TRIAL_INTERVAL_MS;
+            host.nextTrialMs = nowMs + host.trialIntervalMs;
         }
     }
 
-    private void note(double nowMs, Host host, boolean answered) {
-        host.failures = answered ? 0 : host.failures + 1;
-        if (host.failures >= STREAK) {
-            setAside(nowMs, host, "it failed " + host.failures + " times in a row");
+    /** Records whether a node answered or failed; sets it aside after failures in a row, and takes it back when it answers. */
+    private void recordHealth(double nowMs, Host host, boolean answered) {
+        host.consecutiveFailures = answered ? 0 : host.consecutiveFailures + 1;
+        if (host.consecutiveFailures >= SIGNIFICANT_COUNT) {
+            setAside(nowMs, host, "it failed " + host.consecutiveFailures + " times in a row");
         } else if (answered) {
-            host.heardMs = nowMs;
-            host.setAside = null;
-            if (host.announced) {
+            host.lastResponseMs = nowMs;
+            host.setAsideReason = null;
+            if (host.setAsideLogged) {
                 actions.log(host + " answers again and is back in the draw");
             }
-            host.announced = false;
+            host.setAsideLogged = false;
         }
     }
 
-    /** A trial that is due of a server set aside: by a probe, or by this request if it is safe to repeat. */
+    /**
+     * Returns the node that is due for a trial by this request, or null. Without probes, a request that is safe to repeat serves
+     * as the trial; with probes, a probe is sent instead.
+     */
     private Host trialHost(double nowMs, Call call) {
-        boolean risk = call.view.spec.effect() == Effect.SAFE && call.attempts.isEmpty() && probes == 0;
+        boolean byRequest =
+                call.statistics.spec.effect() == Effect.SAFE && call.attempts.isEmpty() && probesPerAttempt == 0;
         for (Host host : members) {
-            if (host.setAside == null || nowMs < host.trialAtMs || host.isCold(nowMs, settings.contract())) {
+            if (host.setAsideReason == null || nowMs < host.nextTrialMs || host.isCold(nowMs, settings.contract())) {
                 continue;
             }
-            if (!host.announced) {
-                actions.log(host + " is set aside, " + host.setAside + "; trying it now and then");
+            if (!host.setAsideLogged) {
+                actions.log(host + " is set aside, " + host.setAsideReason + "; trying it now and then");
             }
-            host.announced = true;
-            if (risk || probes > 0) {
-                host.trialGapMs = Math.min(2 * host.trialGapMs, LONGEST_GAP_MS);
-                host.trialAtMs = nowMs + host.trialGapMs;
+            host.setAsideLogged = true;
+            if (byRequest || probesPerAttempt > 0) {
+                host.trialIntervalMs = Math.min(2 * host.trialIntervalMs, MAX_TRIAL_INTERVAL_MS);
+                host.nextTrialMs = nowMs + host.trialIntervalMs;
             }
-            if (risk) {
+            if (byRequest) {
                 return host;
-            } else if (probes > 0) {
+            } else if (probesPerAttempt > 0) {
                 probe(host);
             } else if (!settings.anySafe()) {
-                host.setAside = null; // nothing may try it, and for good it must not stay out
+                // Nothing may serve as a trial, and the node must not stay set aside indefinitely.
+                host.setAsideReason = null;
             }
         }
         return null;
     }
 
-    private void watchSilence(double nowMs) {
+    /** Sets aside members that are silent, and hedges the attempts in flight at members that are set aside. */
+    private void setAsideSilentHosts(double nowMs) {
         for (Host host : members) {
-            host.attempts.forEach(attempt -> count(attempt, attempt.age(nowMs), false));
+            host.attempts.forEach(attempt -> countLateness(attempt, attempt.ageMs(nowMs), false));
             Attempt oldest = host.attempts.peekFirst();
-            double silentMs = oldest == null ? 0 : nowMs - Math.max(host.heardMs, oldest.sentMs);
-            double typicalMs = oldest == null ? 0 : oldest.call.view.typicalMs();
-            double telling = (host.concurrency.inFlight() > 1 ? SILENCE / 2 : SILENCE) * typicalMs;
-            if (silentMs > 1.5 * typicalMs && silentMs * host.concurrency.inFlight() > telling) {
+            double silentMs = oldest == null ? 0 : nowMs - Math.max(host.lastResponseMs, oldest.sentMs);
+            double typicalMs = oldest == null ? 0 : oldest.call.statistics.typicalMs();
+            double thresholdMs =
+                    (host.concurrency.inFlight() > 1 ? SILENCE_LATENCIES / 2 : SILENCE_LATENCIES) * typicalMs;
+            if (silentMs > 1.5 * typicalMs && silentMs * host.concurrency.inFlight() > thresholdMs) {
                 setAside(nowMs, host, "silent for " + Math.round(silentMs) + " ms");
             }
-            if (host.setAside != null && dense && admit == 1 && waiting.isEmpty()) {
-                host.attempts.forEach(attempt -> copy(nowMs, attempt));
+            if (host.setAsideReason != null && enoughSamples && admittedFraction == 1 && waitingCalls.isEmpty()) {
+                host.attempts.forEach(attempt -> sendHedge(nowMs, attempt));
             }
         }
     }
 
-    /** A second copy of what is stuck there, as class, budget and room allow. */
-    private void copy(double nowMs, Attempt stuck) {
-        Call call = stuck.call;
-        boolean may = !call.done
-                && call.out == 1
+    /** Sends a hedge, a second copy of a stalled attempt, if the request class, the budget and free capacity allow. */
+    private void sendHedge(double nowMs, Attempt stalled) {
+        Call call = stalled.call;
+        boolean allowed = !call.completed
+                && call.attemptsInFlight == 1
                 && settings.limits().secondCopies()
-                && stuck.age(nowMs) > call.view.typicalMs()
+                && stalled.ageMs(nowMs) > call.statistics.typicalMs()
                 && mayResend(nowMs, call);
-        Host other = may ? pick(nowMs, call) : null;
-        if (other != null && other != stuck.host) {
-            extra -= 1;
+        Host other = allowed ? pickHost(nowMs, call) : null;
+        if (other != null && other != stalled.host) {
+            retryBudget -= 1;
             send(nowMs, call, other, call.usefulUntilMs - nowMs);
         }
     }
@@ -649,34 +753,34 @@
     @Override
     public void timer(double nowMs, int token) {
         if (token == SUBSCRIBE_TIMER) {
-            subscribeArmed = false;
+            subscribeTimerSet = false;
             actions.subscribe(true);
         } else if (token == CONTROL_TIMER) {
             try {
-                control(nowMs);
-            } finally { // a tick that fails is followed by the next one all the same
-                controlArmed = !calls.isEmpty();
-                if (controlArmed) {
-                    actions.timer(controlMs, CONTROL_TIMER);
+                controlTick(nowMs);
+            } finally { // the next tick follows even if this one fails
+                controlTimerSet = !calls.isEmpty();
+                if (controlTimerSet) {
+                    actions.timer(controlIntervalMs, CONTROL_TIMER);
                 }
             }
         }
     }
 
-    private void control(double nowMs) {
-        watchSilence(nowMs);
-        placeAsked(nowMs);
+    private void controlTick(double nowMs) {
+        setAsideSilentHosts(nowMs);
+        routeProbedCalls(nowMs);
         if (subset.step(members.size(), list.hosts.size())) {
-            fillSubset(); // the design's small subset leaves servers idle while its own members are full
+            fillSubset(); // a small subset would leave nodes idle while its own members are full
         }
         rankQueues();
-        waiting.offer(held -> dispatch(nowMs, held));
-        waiting.drop(call -> shed(nowMs, call));
-        if (nowMs >= nextAdmissionMs) {
-            nextAdmissionMs = nowMs + settings.shortestAimMs();
+        waitingCalls.offer(call -> tryDispatch(nowMs, call));
+        waitingCalls.removeIf(call -> abandonIfHopeless(nowMs, call));
+        if (nowMs >= nextAdmissionUpdateMs) {
+            nextAdmissionUpdateMs = nowMs + settings.shortestAimMs();
             adjustAdmission();
         }
-        if (nowMs >= nextShareTickMs) {
+        if (nowMs >= nextShareUpdateMs) {
             shareTick(nowMs);
         }
     }
@@ -684,17 +788,17 @@
     @Override
     public void upstreams(double nowMs, ListKind kind, List<Upstream> entries) {
         if (kind == ListKind.FAILED) {
-            if (!subscribeArmed) { // ever later, at random times: many sidecars ask one service
-                double delayMs = TICK_MS / 4 * (1 << Math.min(5, subscribeFailures++));
+            if (!subscribeTimerSet) { // exponential backoff with jitter, as many sidecars use one discovery service
+                double delayMs = SHARE_INTERVAL_MS / 4 * (1 << Math.min(5, subscribeFailures++));
                 delayMs = Math.min(delayMs, settings.contract().askEveryMs() / 4);
                 actions.timer(delayMs * (0.5 + random.nextDouble()), SUBSCRIBE_TIMER);
             }
-            subscribeArmed = true;
+            subscribeTimerSet = true;
         } else {
             subscribeFailures = 0;
             list.apply(kind, entries, random);
             fillSubset();
-            waiting.offer(held -> dispatch(nowMs, held));
+            waitingCalls.offer(call -> tryDispatch(nowMs, call));
         }
     }
 }
--- a/src/test/java/ivybank/queue/RankedQueuesTest.java
+++ b/src/test/java/ivybank/queue/RankedQueuesTest.java
@@ -10,19 +10,19 @@
 
 class RankedQueuesTest {
 
-    private static final double REPEAT_PART = 0.1;
+    private static final double RETRY_FRACTION = 0.1;
 
     private final RankedQueues<String> queues = new RankedQueues<>(2);
     private final List<String> offered = new ArrayList<>();
 
     @Test
-    void theHighestValueIsOfferedFirstAndTheNewestOfAQueueBeforeOlderOnes() {
+    void offersTheHighestValueAndTheNewestItemFirst() {
         queues.add(queues.queue(0, false), "old");
         queues.add(queues.queue(0, false), "new");
         queues.add(queues.queue(1, true), "repeat");
         queues.add(queues.queue(1, false), "worthy");
-        queues.setValue(0, 1, REPEAT_PART);
-        queues.setValue(1, 5, REPEAT_PART);
+        queues.setValue(0, 1, RETRY_FRACTION);
+        queues.setValue(1, 5, RETRY_FRACTION);
         queues.rank();
         queues.offer(offered::add);
         assertEquals(List.of("worthy", "new", "old", "repeat"), offered);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theFirstThatIsNotTakenStaysAndEndsTheOffer() {
+    void firstItemThatIsNotAcceptedStaysAndEndsTheOffer() {
         queues.add(0, "a");
         queues.add(0, "b");
         queues.offer(item -> {
@@ -42,13 +42,13 @@
     }
 
     @Test
-    void whatIsRemovedOrDroppedNoLongerWaits() {
+    void removedItemsAreNotOffered() {
         queues.add(0, "a");
         queues.add(1, "b");
         queues.add(1, "c");
         queues.remove(1, "not there");
         queues.remove(0, "a");
-        queues.drop("b"::equals);
+        queues.removeIf("b"::equals);
         queues.offer(offered::add);
         assertEquals(List.of("c"), offered);
         assertTrue(queues.isEmpty());
