--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -67,7 +67,9 @@
         tally = counts;
     }
 
-    /** Sends nothing from now on by a list that this lease no longer covers, nor what the guard denies. */
+    /**
+     * From now on sends no attempt that relies on a list which this lease no longer covers, or that the guard denies.
+     */
     void enforce(ListLease listLease, InvariantGuard invariants) {
         lease = listLease;
         guard = invariants;
--- a/src/main/java/ivybank/daemon/DrainTimes.java
+++ b/src/main/java/ivybank/daemon/DrainTimes.java
@@ -27,8 +27,8 @@
     /**
      * Returns the times of a process that serves for about as long as it may run. Guards against an avoidable gap: the
      * next process starts when the time of this one is up, however early this one ends. A request that is accepted last
-     * may be failed in the end, but without this process nobody would have accepted it. Does harm where a process is
-     * killed earlier than it was promised.
+     * may be failed in the end, but without this process nobody would have accepted it. The drawback: where a process
+     * is killed earlier than the platform promises, its open requests are lost.
      */
     static DrainTimes longest(Settings settings) {
         double deadlineMs = settings.classes().stream()
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -37,7 +37,7 @@
     private static final long WRITE_INTERVAL_MS = 50;
 
     private static final int INTERVALS_PER_WRITE_ALONE = 20;
-    /** The event loop may be stalled when it is asked for its state: the next round asks again. */
+    /** The time to wait for the event loop's state; where the loop is stalled for longer, the next round asks again. */
     private static final long EVENT_LOOP_TIMEOUT_MS = 1000;
     /** Descriptors that another process holds besides its connections, or may have opened since its last file. */
     private static final int EXTRA_DESCRIPTORS = 40;
@@ -86,7 +86,7 @@
         newest.ifPresent(snapshot -> {
             log.line("taking over what another process has learned of "
                     + snapshot.learned().nodes().size() + " nodes, " + Math.round(nowMs - snapshot.writtenMs())
-                    + " ms ago, believed to " + Math.round(100 * snapshot.confidence(nowMs)) + "%");
+                    + " ms ago, with a confidence of " + Math.round(100 * snapshot.confidence(nowMs)) + "%");
             loop.execute(() -> dispatcher.recall(snapshot.learned(), snapshot.confidence(nowMs)));
         });
     }
--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -47,7 +47,8 @@
     }
 
     /**
-     * Handles a change of the list: recalls the nodes that it names now. After a full list nothing more is recalled.
+     * Handles a change of the list: restores the learned state of the nodes that it names now. After a full list
+     * nothing more is restored.
      */
     void listed(ListKind kind) {
         if (learned != null) {
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -119,7 +119,10 @@
         forwardStalls = forForwarding;
     }
 
-    /** Forwards nothing from now on by a list that this lease no longer covers, nor what the guard denies. */
+    /**
+     * From now on forwards no request that relies on a list which this lease no longer covers, or that the guard
+     * denies.
+     */
     void enforce(ListLease lease, InvariantGuard guard) {
         sender.enforce(lease, guard);
     }
@@ -274,7 +277,7 @@
 
     /**
      * Fails a request at its deadline. Guards against a request that nothing has answered in time, for whatever reason:
-     * no client waits in vain.
+     * its client would wait without end.
      */
     private void failAtDeadline(Exchange exchange) {
         if (!exchange.closed) {
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -118,7 +118,7 @@
     private double tallyDueMs;
     private final StoreSettings store; // null: no promises are kept
     private final ClientServer.Limits clientLimits;
-    /** Completes once discovery allows clients to be served: it was asked, or need not be before. */
+    /** Completes once clients may be served: discovery was asked, or does not have to be asked first. */
     private final Promise<Void> discoveryReady;
 
     private boolean followsDiscovery;
@@ -212,8 +212,8 @@
     }
 
     /**
-     * Opens the store and creates the client side. May take long while the system fails it temporarily, so that
-     * discovery is followed before.
+     * Opens the store and creates the client side. May take long while the operating system reports temporary failures;
+     * discovery is therefore followed before.
      */
     private void prepare() throws IOException {
         promises = store == null ? null : openPromises();
@@ -229,7 +229,7 @@
     }
 
     /**
-     * Runs a sidecar as its environment configures it, until the process is told to shut down.
+     * Runs a sidecar as its environment configures it, until the process receives a shutdown signal.
      *
      * @param operator the operator file, or null for none
      */
@@ -442,9 +442,9 @@
 
     /**
      * Starts the module with the last known list, and starts discovery, before anything that may take long: changes
-     * that discovery announces count from the start of the process. Guards nodes that began to drain before this
-     * process started: where lists are pushed, no client is served until the discovery agent has answered or is known
-     * not to answer.
+     * that discovery announces count from the start of the process. Guards against requests to nodes that began to
+     * drain before this process started: where lists are pushed, no client is served until the discovery agent has
+     * answered or is known not to answer.
      *
      * @param listAgeMs the maximum age of the list that the process starts with, in milliseconds
      */
@@ -592,8 +592,8 @@
     /**
      * Keeps serving new requests for a while, completes the requests in progress, and shuts down. Blocks until then.
      * Where this process listens by itself, clients keep using their connections and get no new ones after a while:
-     * each connection that was closed early left requests without one. Where another process has the listening socket
-     * as well, that process accepts all new connections from now on, and each answer closes its connection so that the
+     * closing connections early left requests without a connection. Where another process has the listening socket as
+     * well, that process accepts all new connections from now on, and each answer closes its connection so that the
      * client reconnects there. Connections that stay idle are closed late, so that no request crosses the close.
      */
     void drain() {
--- a/src/main/java/ivybank/daemon/Warmup.java
+++ b/src/main/java/ivybank/daemon/Warmup.java
@@ -150,7 +150,7 @@
         };
     }
 
-    /** Answers immediately and rejects nothing: rejections would make the decision module slow its pace. */
+    /** Answers immediately and rejects nothing: rejections would make the decision module admit fewer requests. */
     private final class Upstream extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf request) {
--- a/src/main/java/ivybank/policy/Balancer.java
+++ b/src/main/java/ivybank/policy/Balancer.java
@@ -217,8 +217,8 @@
     }
 
     /**
-     * What may be relied on: how a started upstream warms up, from the fraction {@code coldFrom} of its capacity to all of it after
-     * {@code coldMs}, and how often a sidecar without a subscription must ask for the list.
+     * The guarantees of the deployment: how a started upstream warms up, from the fraction {@code coldFrom} of its
+     * capacity to all of it after {@code coldMs}, and how often a sidecar without a subscription must request the list.
      */
     record Contract(double coldFrom, double coldMs, double overloadFactor, double overloadMs, double askEveryMs) {
         public Contract {
@@ -228,7 +228,10 @@
         }
     }
 
-    /** How the service is scored: the weights of the whole, the worst class and the worst tenant, and the cost of a probe. */
+    /**
+     * How the service is scored: the weights of all requests together, of the worst-served class and of the
+     * worst-served tenant, and the cost of a probe.
+     */
     record Goal(double whole, double worstClass, double worstTenant, double probeCost) {
         public Goal {
             require(probeCost >= 0, "cost of a probe must not be negative");
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -566,11 +566,12 @@
     }
 
     /**
-     * Returns the cold member that this request is sent to, or null. This protects a node that has just started from overload, for
-     * as long as the contract calls it cold. Each request makes one draw before its first attempt, whatever the state of the other
-     * members. If the draw hits a cold member, that takes the request with the probability that {@link #coldLoadFraction} returns. All sidecars
-     * together thus send it that fraction of its share of first tries and no more: no credit accumulates, and requests that other
-     * nodes have no capacity for are not moved to it here.
+     * Returns the cold member that this request is sent to, or null. This protects a node that has just started from
+     * overload, for as long as the contract calls it cold. Each request makes one draw before its first attempt,
+     * whatever the state of the other members. If the draw hits a cold member, the member takes the request with the
+     * probability that {@link #coldLoadFraction} returns. All sidecars together thus send it that fraction of its share
+     * of first tries and no more: no credit accumulates, and requests that other nodes have no capacity for are not
+     * moved to it here.
      */
     private Host coldHost(double nowMs, Call call) {
         boolean noDraw = call.coldDrawMade || call.clientRetry || !call.attempts.isEmpty();
@@ -609,7 +610,10 @@
         return hopeless;
     }
 
-    /** Ranks the queues by what an answer adds to the goal, for the whole and for the worst-served class; sets what is refused. */
+    /**
+     * Ranks the queues by what an answer adds to the goal, over all classes and for the worst-served one; sets the
+     * fraction of each queue that is refused.
+     */
     private void rankQueues() {
         double totalWorth = Double.MIN_NORMAL
                 + classes.stream().mapToDouble(ClassStatistics::offeredWorth).sum();
@@ -710,7 +714,8 @@
             } else if (probesPerAttempt > 0) {
                 probe(host);
             } else if (!settings.anySafe()) {
-                // Nothing may serve as a trial, and the node must not stay set aside indefinitely.
+                // There are no probes and no requests that are safe to repeat, so nothing can serve as a trial, and the
+                // node must not stay set aside indefinitely.
                 host.setAsideReason = null;
             }
         }
