--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -124,7 +124,10 @@
     private double lastReadMs;
     /** The number of requests that were received, in full or in part if long. */
     private int requests;
-    /** Whether the rest of a long request is to be read now; since when it is not, and for how long it was not before. */
+    /**
+     * Whether the rest of a long request is to be read now; the time since when reading it has been suspended; and the
+     * total duration of the earlier suspensions for this request, in milliseconds.
+     */
     private boolean bodyDemanded = true;
 
     private double notDemandedSinceMs;
@@ -573,7 +576,7 @@
         return freeSinceMs;
     }
 
-    /** Returns whether it may be closed if many connections are open. */
+    /** Returns whether the connection may be closed if many connections are open. */
     boolean isSurplus(double nowMs) {
         boolean unused = partial
                 ? nowMs - lastReadMs >= PARTIAL_SURPLUS_MS
--- a/src/main/java/ivybank/client/ClientServer.java
+++ b/src/main/java/ivybank/client/ClientServer.java
@@ -274,9 +274,9 @@
     }
 
     /**
-     * Returns whether a connection is to be closed with the answer to its first request. Where each request arrives on a new
-     * connection and the old ones are kept, they took all of the client's few connections, and most requests found none.
-     * Some connections are kept open to detect whether that still holds.
+     * Returns whether a connection is to be closed with the answer to its first request. Where each request arrives on
+     * a new connection, the old ones, when kept open, took all of the client's few connections, and most requests found
+     * none. Some connections are kept open to detect whether that still holds.
      */
     boolean closesAfterFirstAnswer() {
         return !ending
@@ -299,7 +299,10 @@
         refusedRequests++;
     }
 
-    /** Sets the guard that is asked before connections are closed. To be called before the first connection is accepted. */
+    /**
+     * Sets the guard that is consulted before connections are closed. Must be called before the first connection is
+     * accepted.
+     */
     public void setGuard(InvariantGuard newGuard) {
         guard = newGuard;
     }
@@ -420,7 +423,7 @@
         return draining || standby().compareTo(Standby.CLOSING_AFTER_ANSWER) >= 0;
     }
 
-    /** Sends clients away from this time on, in Unix milliseconds; 0 serves them again. */
+    /** Puts the sidecar on standby from this time on, in Unix milliseconds; 0 ends the standby. */
     public void setStandbySince(double sinceMs) {
         standbySinceMs = sinceMs;
     }
@@ -434,7 +437,7 @@
         return Standby.at(standbySinceMs, clock.nowMs());
     }
 
-    /** Stops closing connections to make room for others, since the client gets no new ones. */
+    /** Stops closing unused connections to free capacity for others, since the client gets no new ones. */
     public void retainConnections() {
         ending = true;
     }
--- a/src/main/java/ivybank/client/RequestDecoder.java
+++ b/src/main/java/ivybank/client/RequestDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.ReferenceCountUtil;
 
-/** A strict version of Netty's request decoder, which also tells whether a partial request has been received. */
+/** A strict version of Netty's request decoder, which also reports whether a partial request has been received. */
 final class RequestDecoder extends HttpRequestDecoder {
 
     private boolean discarding;
--- a/src/main/java/ivybank/client/RequestReader.java
+++ b/src/main/java/ivybank/client/RequestReader.java
@@ -53,7 +53,7 @@
         this.decoder = decoder;
     }
 
-    /** Sets who is notified of the demand for the rest of a long request. */
+    /** Sets the source that is notified of the demand for the rest of a long request. */
     void setSource(BodyPipe.Source bodySource) {
         source = bodySource;
     }
--- a/src/main/java/ivybank/discovery/Directory.java
+++ b/src/main/java/ivybank/discovery/Directory.java
@@ -70,8 +70,7 @@
             Node node = byHost.computeIfAbsent(entry.host(), this::add);
             boolean first = listedNodes.add(node) && node.listed == null;
             // Another machine or process: connections to the previous one are unusable, and a request written there
-            // ends
-            // with a reset after which it may have run.
+            // ends with a reset after which it may have run.
             boolean moved = !entry.address().equals(node.address) || entry.bornMs() != node.bornMs;
             boolean undrained = update.fromElsewhere()
                     && node.status == Status.DRAINING
@@ -156,8 +155,9 @@
     }
 
     /**
-     * Replaces the set of nodes that operators have taken out of service, by host and with the time at which they did. Returns
-     * the entries that change, in the form of the decision module. This overrides what discovery says until it is taken back.
+     * Replaces the set of nodes that operators have taken out of service, by host and with the time at which they did.
+     * Returns the entries that change, in the form of the decision module. This overrides the status from discovery
+     * until it is revoked.
      */
     public List<Upstream> takeOut(Map<String, Double> nodes, double nowMs) {
         Map<String, Double> before = Map.copyOf(outOfService);
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -22,15 +22,16 @@
 import java.util.function.Supplier;
 
 /**
- * Follows discovery: fetches the whole list and then watches it from its version on. Where a list is known from before the
- * start, the watch resumes from its version at once, which costs one call and a few lines instead of two calls and all lines. A
- * broken call is repeated after a growing pause. A watch that is silent for longer than the interval of its empty lines counts
- * as broken, whatever bytes trickle in. Discovery may move: everything starts anew at its new address, because the versions of
- * one address say nothing about another, and the old one is followed until the new one has answered. After each call,
- * {@code addressSupplier} is asked for the current address, which finds a move that nobody has announced.
+ * Follows discovery: fetches the whole list and then watches it from its version on. Where a list is known from before
+ * the start, the watch resumes from its version at once, which costs one call and a few lines instead of two calls and
+ * all lines. A broken call is repeated after a growing pause. A watch that is silent for longer than the interval of
+ * its empty lines counts as broken, whatever bytes trickle in. Discovery may move: everything starts over at its new
+ * address, because the versions of one address say nothing about another, and the old one is followed until the new one
+ * has answered. After each call, {@code addressSupplier} is asked for the current address, which finds a move that
+ * nobody has announced.
  *
- * <p>This class owns the chain of calls. There is always a call under way or a pause before the next one, each with a time by
- * which it must have ended, and a {@link ivybank.supervision.Watchdog} starts the next one where it has not.
+ * <p>This class owns the chain of calls. There is always a call under way or a pause before the next one, each with a
+ * time by which it must have ended, and a {@link ivybank.supervision.Watchdog} starts the next one where it has not.
  */
 public final class Discovery implements SupervisedTask, DiscoveryCall.Owner {
 
@@ -44,7 +45,7 @@
         STOPPED
     }
 
-    /** The delay beyond which one of its own timers counts as lost. */
+    /** The delay beyond which a timer of this class counts as lost. */
     private static final double MAX_TIMER_DELAY_MS = 100;
     /** The number of consecutive failed calls that are logged one by one. */
     private static final int MAX_CONSECUTIVE_LOGGED_FAILURES = 20;
--- a/src/main/java/ivybank/discovery/DiscoveryCall.java
+++ b/src/main/java/ivybank/discovery/DiscoveryCall.java
@@ -116,12 +116,12 @@
     boolean firstSinceMove;
     /** Whether this watch has delivered data. */
     private boolean hasData;
-    /** Whether its last request has been written completely. */
+    /** Whether the call's last request has been written completely. */
     private boolean requestWritten;
 
     /** The time at which the last request was sent. */
     private double askedMs;
-    /** Whether anything has arrived in answer to it. */
+    /** Whether anything has arrived in answer to the last request. */
     private boolean answered;
     /** Whether the connection cannot be read at the moment. */
     private boolean unreadable;
@@ -130,7 +130,7 @@
     private boolean readFailedSinceRequest;
 
     private boolean readRetryScheduled;
-    /** The reason why it ended, as far as it is known here. */
+    /** The reason why the call ended, as far as it is known here. */
     private String failure = "its connection was closed";
 
     DiscoveryCall(Owner owner, Timing timing, Clock clock, int silentWatchesBefore, long version, long newestVersion) {
--- a/src/main/java/ivybank/discovery/ListLease.java
+++ b/src/main/java/ivybank/discovery/ListLease.java
@@ -26,7 +26,7 @@
     private boolean unreadable;
     /** The time since which no readable call is pending, or NaN while one is. */
     private double uncoveredSinceMs = Double.NaN;
-    /** Whether this machine is one reason for that. */
+    /** Whether this machine is one reason why no readable call is pending. */
     private boolean localFault;
     /** The time since which an update may have been missed that only the next answer can bring; or NaN. */
     private double possiblyMissedSinceMs = Double.NaN;
@@ -45,7 +45,7 @@
      * Returns the standard lease.
      *
      * @param asked whether calls queue at one discovery service shared by all sidecars
-     * @param graceMs how long requests may still be sent to a node that has been told to drain
+     * @param graceMs how long requests may still be sent to a node that has been instructed to drain
      */
     public static ListLease standard(boolean asked, double graceMs) {
         double allowedMs = asked ? Timing.FAILURE_REPORT_LIMIT_MS : graceMs;
--- a/src/main/java/ivybank/discovery/ListValues.java
+++ b/src/main/java/ivybank/discovery/ListValues.java
@@ -23,7 +23,7 @@
      */
     record Piece(List<JsonNode> values, boolean emptyLine) {
 
-        /** Returns whether it proves that the other side is alive; a value that never completes does not. */
+        /** Returns whether the piece proves that the other side is alive; a value that never completes does not. */
         boolean isSignOfLife() {
             return emptyLine || !values.isEmpty();
         }
--- a/src/main/java/ivybank/discovery/Node.java
+++ b/src/main/java/ivybank/discovery/Node.java
@@ -14,16 +14,16 @@
     public boolean ready;
     /** The last status from discovery; {@code GONE} where a whole list left the node out. */
     Status status;
-    /** The start of its process as discovery last stated it, in Unix milliseconds; 0 for long ago. */
+    /** The start of the node's process as discovery last stated it, in Unix milliseconds; 0 for long ago. */
     double bornMs;
-    /** The start of its process by the clock of this process. */
+    /** The start of the node's process by the clock of this process. */
     double processStartedMs;
     /** The last entry from discovery. */
     HostUpdate.Entry listed;
-    /** The time since which operators have it out of service, or 0. */
+    /** The time since which operators have had the node out of service, or 0. */
     double outOfServiceSinceMs;
 
-    /** The time of its last return to service. */
+    /** The time of the node's last return to service. */
     double returnedToServiceMs;
 
     public Node(int id, String host) {
@@ -32,25 +32,27 @@
     }
 
     /**
-     * Returns the start of its process, or its return to service if that is later, by the clock of this process; 0 for long ago.
+     * Returns the start of the node's process, or its return to service if that is later, by the clock of this process;
+     * 0 for long ago.
      */
     public double startedMs() {
         return Math.max(processStartedMs, returnedToServiceMs);
     }
 
     /**
-     * Returns the difference between its start by the clock of this process and as discovery states it, in milliseconds.
+     * Returns the difference between the node's start by the clock of this process and as discovery states it, in
+     * milliseconds.
      */
     double clockCorrectionMs() {
         return bornMs <= 0 ? 0 : processStartedMs - bornMs;
     }
 
-    /** Returns the zone in which it is listed; empty where it is not known. */
+    /** Returns the zone in which the node is listed; empty where it is not known. */
     public String zone() {
         return listed == null ? "" : listed.zone();
     }
 
-    /** Returns the cell in which it is listed. */
+    /** Returns the cell in which the node is listed. */
     public int cell() {
         return listed == null ? 0 : listed.cell();
     }
--- a/src/main/java/ivybank/discovery/Timing.java
+++ b/src/main/java/ivybank/discovery/Timing.java
@@ -64,7 +64,7 @@
      * Returns the standard timing.
      *
      * @param asked whether calls queue at one discovery service shared by all sidecars
-     * @param graceMs how long requests may still be sent to a node that has been told to drain
+     * @param graceMs how long requests may still be sent to a node that has been instructed to drain
      */
     public static Timing standard(boolean asked, double graceMs) {
         return asked
--- a/src/main/java/ivybank/upstream/ConnectionOpener.java
+++ b/src/main/java/ivybank/upstream/ConnectionOpener.java
@@ -19,12 +19,12 @@
 /** Opens connections to nodes, and counts those that are open. Runs on one event loop. */
 final class ConnectionOpener {
 
-    /** The maximum number of connections, and the timeout within which one must come up. */
+    /** The maximum number of connections, and the timeout within which each must be established. */
     record Limits(int connections, int connectTimeoutMs) {}
 
     /** The part of the allowed connections that spare connections never use. */
     private static final double RESERVED_RATIO = 0.25;
-    /** A connection that has neither come up nor failed this long after its timeout is abandoned. */
+    /** A connection that is neither established nor failed this long after its timeout is abandoned. */
     private static final double MAX_CONNECT_OVERDUE_MS = 500;
 
     private final UpstreamPool pool;
@@ -37,7 +37,7 @@
     private final Map<Node, Integer> spares = new HashMap<>();
 
     private Tally tally = Tally.NONE;
-    /** The connections that are open or coming up; their number counts against the limits. */
+    /** The connections that are open or being established; their number counts against the limits. */
     private final Map<UpstreamConnection, Opening> open = new LinkedHashMap<>();
 
     private long openedCount;
@@ -63,7 +63,7 @@
         tally = counts;
     }
 
-    /** Returns the number of connections that are open or coming up. */
+    /** Returns the number of connections that are open or being established. */
     int open() {
         return open.size();
     }
@@ -90,7 +90,7 @@
         return open() < limits.connections() - reserved && descriptors.available() > reserved;
     }
 
-    /** Opens a connection and passes it to the receiver once it is up, or null if it does not come up. */
+    /** Opens a connection and passes it to the receiver once it is established, or null if it cannot be established. */
     void open(Node node, boolean spare, Consumer<UpstreamConnection> receiver) {
         ResponseDecoder decoder = new ResponseDecoder();
         UpstreamConnection connection = new UpstreamConnection(node, spare, decoder, pool, reports);
@@ -139,7 +139,9 @@
             release(upstream);
         }
 
-        /** Returns whether the connection has ended, or should have come up, without an event that says so. */
+        /**
+         * Returns whether the connection has ended, or should have been established, without an event that reports it.
+         */
         boolean isLost(double nowMs) {
             boolean overdue = !up && nowMs - startedMs > limits.connectTimeoutMs() + MAX_CONNECT_OVERDUE_MS;
             return overdue || connection != null && connection.hasClosedUnreported();
--- a/src/main/java/ivybank/upstream/ConnectionReusePolicy.java
+++ b/src/main/java/ivybank/upstream/ConnectionReusePolicy.java
@@ -23,9 +23,11 @@
         REUSE,
         /** The attempt waits for the resting connection. */
         WAIT,
-        /** There is none to wait for, so a new one is opened. */
+        /** There is no connection to wait for, so a new one is opened. */
         OPEN,
-        /** A spare one is opened, and carries the attempt if it is up before the other one has rested. */
+        /**
+         * A spare connection is opened, and carries the attempt if it is established before the resting one has rested.
+         */
         OPEN_AND_WAIT
     }
 
@@ -136,12 +138,12 @@
                 && refusedUntilMs.getOrDefault(node.host(), Double.NEGATIVE_INFINITY) <= nowMs;
     }
 
-    /** Records that a connection has come up, this long after it was opened. */
+    /** Records that a connection was established, and how long that took. */
     void connectionEstablished(double tookMs) {
         connectMs += CONNECT_TIME_SMOOTHING * (tookMs - connectMs);
     }
 
-    /** Records that a node refused a connection or a request, or that a connection to it never came up. */
+    /** Records that a node refused a connection or a request, or that a connection to it was never established. */
     void refused(String host, double nowMs) {
         refusedUntilMs.put(host, nowMs + limits.refusalBackoffMs());
     }
--- a/src/main/java/ivybank/upstream/ConnectionWait.java
+++ b/src/main/java/ivybank/upstream/ConnectionWait.java
@@ -60,7 +60,7 @@
     /**
      * Handles the end of a connect.
      *
-     * @param connection the new connection, or null if it has not come up
+     * @param connection the new connection, or null if it could not be established
      */
     private void connected(UpstreamConnection connection) {
         connecting = false;
@@ -73,7 +73,7 @@
             attempt.stage = Stage.CONNECT;
             returnResting();
             pool.send(connection, attempt);
-        } else { // the node has drained or moved while the connection came up
+        } else { // the node has drained or moved while the connection was being established
             connection.close();
             connectionUnusable();
         }
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Handles a connection that can no longer be used: the attempt goes on with the other one, or starts anew. */
+    /** Handles a connection that can no longer be used: the attempt continues with the other one, or starts over. */
     private void connectionUnusable() {
         if (!completed && resting == null && !connecting) {
             completed = true;
--- a/src/main/java/ivybank/upstream/ResponseDecoder.java
+++ b/src/main/java/ivybank/upstream/ResponseDecoder.java
@@ -12,7 +12,7 @@
         return actualReadableBytes() > 0;
     }
 
-    /** Rejects a response whose end is ambiguous: Netty would drop the length and go on. */
+    /** Rejects a response whose end is ambiguous: Netty would drop the length and continue. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("the response has both a Content-Length and a Transfer-Encoding");
--- a/src/main/java/ivybank/upstream/UpstreamAttempt.java
+++ b/src/main/java/ivybank/upstream/UpstreamAttempt.java
@@ -65,12 +65,12 @@
     /** The outcome, or null while the attempt is under way. */
     private Outcome outcome;
 
-    /** The time at which its first byte was written, by the clock of the decision module. */
+    /** The time at which the attempt's first byte was written, by the clock of the decision module. */
     private double writtenMs = Double.POSITIVE_INFINITY;
-    /** The time at which it was handed to the pool. */
+    /** The time at which the attempt was handed to the pool. */
     double startedMs;
 
-    /** What it has waited for since then. */
+    /** The stage in which the attempt has waited since then. */
     Stage stage = Stage.REUSE;
 
     public UpstreamAttempt(Node node, ClientRequest request, double timeoutMs, Listener listener) {
@@ -125,12 +125,12 @@
         listener.answerStarted(answer);
     }
 
-    /** Returns whether it may be written now, with this time budget for its node. */
+    /** Returns whether the attempt may be written now, with this time budget for its node. */
     Verdict mayBeWritten(double budgetMs) {
         return listener.mayBeWritten(budgetMs);
     }
 
-    /** Records that it is being written on this connection; the request may have left on it from now on. */
+    /** Records that the attempt is being written on this connection; the request may have left on it from now on. */
     void writeStarted(UpstreamConnection carrier, double nowMs) {
         connection = carrier;
         writtenMs = nowMs;
--- a/src/main/java/ivybank/upstream/UpstreamConnection.java
+++ b/src/main/java/ivybank/upstream/UpstreamConnection.java
@@ -59,11 +59,11 @@
     private static final String SERVICE = "api.internal";
 
     final Node node;
-    /** The address to which it leads; its node may have moved since. */
+    /** The address to which the connection leads; its node may have moved since. */
     final SocketAddress address;
-    /** Whether it is a spare connection, opened to save an attempt a wait. */
+    /** Whether this is a spare connection, opened to save an attempt a wait. */
     final boolean spare;
-    /** The time at which it was last returned to the pool, by the clock of the decision module. */
+    /** The time at which the connection was last returned to the pool, by the clock of the decision module. */
     double idleSinceMs;
     /** The time of its last answer, by the clock of the decision module. */
     double answeredMs = Double.NEGATIVE_INFINITY;
@@ -79,15 +79,15 @@
     /** The rest of a long answer that is being forwarded, or null. */
     private BodyPipe rest;
 
-    /** The number of bytes of it that have arrived. */
+    /** The number of bytes of the long answer that have arrived. */
     private long forwardedBytes;
-    /** The time at which the last part of it arrived, by the clock of the decision module. */
+    /** The time at which the last part of the long answer arrived, by the clock of the decision module. */
     private double lastPartMs;
     /** The rest of a long request that is being forwarded, or null. */
     private BodyPipe upload;
 
     private ScheduledFuture<?> uploadTimeout;
-    /** Whether it has failed instead of being closed in order. */
+    /** Whether the connection has failed instead of being closed in order. */
     private boolean broken;
 
     private int interimResponses;
@@ -119,7 +119,7 @@
         return written;
     }
 
-    /** Returns whether its channel exists and is up. */
+    /** Returns whether the channel exists and is connected. */
     boolean active() {
         return channel != null && channel.isActive();
     }
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -26,7 +26,7 @@
      * The limits of the pool.
      *
      * @param connections the maximum number of open connections
-     * @param connectTimeoutMs the timeout within which a connection must come up
+     * @param connectTimeoutMs the timeout within which a connection must be established
      * @param idleMs how long a connection may be idle
      * @param stallMs how long an answer that is being forwarded may stall
      * @param reuse when an idle connection is used again, and when a spare one is opened
@@ -154,7 +154,7 @@
         return clock.nowMs();
     }
 
-    /** Returns the number of connections that are open or coming up. */
+    /** Returns the number of connections that are open or being established. */
     public int open() {
         return opener.open();
     }
@@ -213,8 +213,9 @@
     }
 
     /**
-     * Sends on a free connection. After an event loop stall, unread input that reports a disconnected client or a draining node is
-     * processed first, so that the request is not sent in vain.
+     * Sends on a free connection. After an event loop stall, unread input that reports a disconnected client or a
+     * draining node is processed first, so that no request is sent for a client that has disconnected or to a node that
+     * is draining.
      */
     void send(UpstreamConnection connection, UpstreamAttempt attempt) {
         if (stallDetector.isStalled(clock.nowMs())) {
@@ -279,7 +280,7 @@
         return leadsToNodeAddress(connection) && connection.active();
     }
 
-    /** Records that a connection has come up, this long after it was opened. */
+    /** Records that a connection was established, and how long that took. */
     void connectionEstablished(UpstreamConnection connection, double tookMs) {
         reuse.connectionEstablished(tookMs);
         connection.idleSinceMs = clock.nowMs();
@@ -299,7 +300,7 @@
         }
     }
 
-    /** Logs a connection that has ended, or should have come up long ago, without an event. */
+    /** Logs a connection that has ended, or should have been established long ago, without an event. */
     void connectionLost(UpstreamConnection connection) {
         log.line("a connection to " + connection.node + " ended without an event: its resources are released");
     }
@@ -317,7 +318,7 @@
         idle.closeIf(node, connection -> connection.spare);
     }
 
-    /** Takes back a connection that was to carry a request and did not. */
+    /** Takes back a connection on which the intended request was not sent. */
     void returnUnused(UpstreamConnection connection) {
         keepIdle(connection);
     }
