--- a/src/main/java/ivybank/common/EventLoopStallDetector.java
+++ b/src/main/java/ivybank/common/EventLoopStallDetector.java
@@ -1,11 +1,11 @@
 package ivybank.common;
 
 /**
- * Detects that the event loop has recently stalled: the process was stopped, the machine was migrated or had no CPU to
- * spare, or a garbage collection took long. What arrived meanwhile is still in the sockets and is read in no particular
- * order: a node's answer before the disconnect of the client that waits for it, a request before the message that its node
- * drains. What is forwarded then has to wait until all sockets have been read ({@link NextSelect}). Time is passed in, in
- * milliseconds; {@link #check} is due every {@link #periodMs()}. Used on the event loop alone.
+ * Detects that the event loop has recently stalled: the process was stopped, the machine was migrated or short of CPU
+ * time, or a garbage collection took long. What arrived meanwhile is still in the sockets and is read in no particular
+ * order: a node's answer before the disconnect of the client that waits for it, a request before the message that its
+ * node drains. What is forwarded then has to wait until all sockets have been read ({@link NextSelect}). Time is passed
+ * in, in milliseconds; {@link #check} is due every {@link #periodMs()}. Used on the event loop alone.
  */
 public final class EventLoopStallDetector {
 
@@ -41,9 +41,10 @@
     private double settlingEndMs;
 
     /**
-     * Returns a detector for what matters before something is sent: that clients have disconnected and that nodes drain.
+     * Returns a detector for what matters before something is sent: that clients have disconnected and that nodes
+     * drain.
      *
-     * @param graceMs for how long requests may still be sent to a node after it was notified to drain
+     * @param graceMs for how long requests may still be sent to a node after it was instructed to drain
      */
     public static EventLoopStallDetector forSends(double graceMs, double nowMs) {
         return new EventLoopStallDetector(
--- a/src/main/java/ivybank/common/ProcessAge.java
+++ b/src/main/java/ivybank/common/ProcessAge.java
@@ -5,12 +5,17 @@
 
     private static final double NANOS_IN_MS = 1e6;
     private static final long LOADED_NANOS = System.nanoTime();
-    /** What the Java runtime takes at most, on a busy machine, before it runs the first line of the program. */
+    /**
+     * The maximum time that the Java runtime takes, on a busy machine, before it runs the first line of the program.
+     */
     private static final double MAX_RUNTIME_START_MS = 1000;
 
     private ProcessAge() {}
 
-    /** Returns the time since the first line of the program, which calls this, in milliseconds. */
+    /**
+     * Returns the time since the first line of the program, in milliseconds. That line calls this method, which loads
+     * the class and so starts the measurement.
+     */
     public static double sinceFirstLineMs() {
         return (System.nanoTime() - LOADED_NANOS) / NANOS_IN_MS;
     }
--- a/src/main/java/ivybank/common/RecoveryTime.java
+++ b/src/main/java/ivybank/common/RecoveryTime.java
@@ -32,7 +32,8 @@
         for (int from = fault; from + STABLE_S <= seconds; from++) {
             double firstSecond = share.applyAsDouble(from);
             double mean = mean(share, from, from + STABLE_S);
-            // The second itself must reach the baseline too: four good ones must not make up for that of the fault.
+            // The second itself must reach the baseline too: four good seconds must not make up for the second of the
+            // fault.
             if (mean >= baseline - TOLERANCE && !(firstSecond < baseline - TOLERANCE)) {
                 return Math.max(0, from - faultS);
             }
--- a/src/main/java/ivybank/exchange/BodyPipe.java
+++ b/src/main/java/ivybank/exchange/BodyPipe.java
@@ -5,10 +5,10 @@
 import java.util.Deque;
 
 /**
- * The remaining part of a long body, passed from the side that reads it to the side that writes it. Buffers what has been
- * read until it is consumed. The reader is told to stop meanwhile, and whenever the writer can't accept more, so that the
- * buffer holds little more than the reader reads in spite of that. Ends once: completed or aborted by the reader, or
- * abandoned by the writer. Used on one event loop.
+ * The remaining part of a long body, passed from the side that reads it to the side that writes it. Buffers what has
+ * been read until it is consumed. Meanwhile, and whenever the writer can't accept more, the reader is requested to
+ * stop, so that the buffer holds little more than what the reader still reads after that request. Ends once: completed
+ * or aborted by the reader, or abandoned by the writer. Used on one event loop.
  */
 public final class BodyPipe {
 
--- a/src/main/java/ivybank/handover/HandoverSnapshot.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshot.java
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Returns whether the process that wrote it may still be running. */
+    /** Returns whether the process that wrote the snapshot may still be running. */
     public boolean isFresh(double nowMs) {
         double ageMs = nowMs - writtenMs;
         return ageMs >= MIN_AGE_MS && ageMs <= MAX_FRESH_AGE_MS;
--- a/src/main/java/ivybank/promises/OfflinePromises.java
+++ b/src/main/java/ivybank/promises/OfflinePromises.java
@@ -15,7 +15,8 @@
 public final class OfflinePromises {
 
     /**
-     * A promise with its request class, the name of the request (empty if it had none), its state and its Unix time.
+     * A promise with its request class, the name of the request (empty if it had none), its state and the Unix time of
+     * its record in milliseconds.
      */
     public record StoredPromise(String requestClass, String name, State state, double atMs) {}
 
--- a/src/main/java/ivybank/slowstart/TokenBucket.java
+++ b/src/main/java/ivybank/slowstart/TokenBucket.java
@@ -12,14 +12,16 @@
     private double tokens;
     private double refilledMs = Double.NaN;
 
-    /** Refills at {@code perMs} tokens a millisecond and returns whether there is a token; never at a rate of 0. */
+    /**
+     * Refills at {@code perMs} tokens a millisecond and returns whether there is a token; at a rate of 0 there is none.
+     */
     public boolean hasToken(double nowMs, double perMs) {
         tokens = Double.isNaN(refilledMs) ? 0 : Math.min(MAX_TOKENS, tokens + perMs * Math.max(0, nowMs - refilledMs));
         refilledMs = nowMs;
         return perMs > 0 && tokens >= MAX_TOKENS;
     }
 
-    /** Takes a token for an attempt that was sent, whether or not {@link #hasToken} was asked first. */
+    /** Takes a token for an attempt that was sent, whether or not {@link #hasToken} was called first. */
     public void take() {
         tokens = Math.max(MIN_TOKENS, tokens - 1);
     }
--- a/src/main/java/ivybank/store/Compaction.java
+++ b/src/main/java/ivybank/store/Compaction.java
@@ -10,7 +10,9 @@
  */
 final class Compaction {
 
-    /** Bytes read and forced in one step. It bounds how long a step delays the next batch of writes. */
+    /**
+     * The number of bytes read and forced in one step, which bounds how long a step delays the next batch of writes.
+     */
     private static final int STEP_BYTES = 128 * 1024;
 
     /** A record that was copied: its key, where it was, and where it is now. */
@@ -32,7 +34,7 @@
      *
      * @param startsAtOldest whether the run begins with the oldest segment; its deletions are then dropped too, because
      *     no older segment can hold a record that they delete
-     * @param number of the new segment
+     * @param number the number of the new segment
      */
     Compaction(Disk disk, Index index, List<Segment> sources, boolean startsAtOldest, long number) {
         this.disk = disk;
--- a/src/main/java/ivybank/store/Manifest.java
+++ b/src/main/java/ivybank/store/Manifest.java
@@ -10,9 +10,9 @@
  * that is appended to. The file is replaced atomically and holds two copies of its content, so that one corrupt place
  * does not make the store unusable.
  *
- * @param nextSegmentNumber of the next segment to be created
- * @param segments in use
- * @param quarantined numbers of corrupt segments that were set aside
+ * @param nextSegmentNumber the number of the next segment to be created
+ * @param segments the segments in use, oldest first
+ * @param quarantined the numbers of the corrupt segments that were set aside
  */
 record Manifest(long nextSegmentNumber, List<Entry> segments, List<Long> quarantined) {
 
--- a/src/main/java/ivybank/store/Recovery.java
+++ b/src/main/java/ivybank/store/Recovery.java
@@ -44,7 +44,7 @@
     /**
      * Recovers the store of a folder, or creates one if the folder is new.
      *
-     * @param degrade whether to quarantine corrupt segments and go on without the lost data, rather than fail
+     * @param degrade whether to quarantine corrupt segments and continue without the lost data, rather than fail
      * @throws StoreException if confirmed data are corrupt and {@code degrade} is false, or if the manifest is corrupt
      */
     static Recovered run(Disk disk, Limits limits, boolean degrade) throws IOException {
--- a/src/main/java/ivybank/store/RecoveryReport.java
+++ b/src/main/java/ivybank/store/RecoveryReport.java
@@ -11,7 +11,7 @@
  * @param checkpoints number of segments that were loaded from their checkpoints
  * @param cutBytes size of an unconfirmed last write, which was truncated
  * @param damage one line for each piece of confirmed data that can't be read any more; a start reports any only if it
- *     may go on without that data
+ *     may continue without that data
  */
 public record RecoveryReport(int segments, int records, int keys, int checkpoints, int cutBytes, List<String> damage) {
 
--- a/src/main/java/ivybank/store/Store.java
+++ b/src/main/java/ivybank/store/Store.java
@@ -102,7 +102,7 @@
     /**
      * Recovers the store of a disk and starts its writer. The store owns the disk and closes it.
      *
-     * @param degrade whether to quarantine corrupt segments and go on without the lost data, rather than fail
+     * @param degrade whether to quarantine corrupt segments and continue without the lost data, rather than fail
      * @param visitor receives all stored keys and values before this returns
      * @throws StoreException if the store can't be used in its present state; nothing is changed then
      */
--- a/src/main/java/ivybank/subsetting/package-info.java
+++ b/src/main/java/ivybank/subsetting/package-info.java
@@ -1,2 +1,2 @@
-/** How many nodes a sidecar draws from; no input, output or clock. */
+/** Computes how many nodes a sidecar balances over; does no I/O and reads no clock. */
 package ivybank.subsetting;
--- a/src/main/java/ivybank/supervision/StartRetry.java
+++ b/src/main/java/ivybank/supervision/StartRetry.java
@@ -18,7 +18,7 @@
     /**
      * Runs an action until it succeeds, for 10 s at most.
      *
-     * @param permanent tells which failures are permanent; these are thrown at once
+     * @param permanent returns whether a failure is permanent; such a failure is thrown at once
      * @throws IOException the last failure
      */
     public static <T> T call(String what, Log log, Predicate<Throwable> permanent, Callable<T> action)
--- a/src/main/java/ivybank/supervision/SupervisedTask.java
+++ b/src/main/java/ivybank/supervision/SupervisedTask.java
@@ -13,7 +13,7 @@
     /** Returns the name for the log. */
     String name();
 
-    /** Returns a word for the current state. */
+    /** Returns the name of the current state, for the log. */
     String state();
 
     /** Returns the time by which the next step must have happened; {@link #NEVER} if none must. */
--- a/src/main/java/ivybank/tally/SecondCounts.java
+++ b/src/main/java/ivybank/tally/SecondCounts.java
@@ -36,7 +36,7 @@
     public static final String OTHERS = "*";
 
     static final String LINE_PREFIX = "tally";
-    /** The prefix of stages in a line: {@code stage:rest=4096*2} says that two requests took 4,096 microseconds. */
+    /** The prefix of stages in a line: {@code stage:rest=4096*2} means that two requests took 4,096 microseconds. */
     private static final String STAGE_PREFIX = "stage:";
 
     /**
--- a/src/main/java/ivybank/tally/SecondTally.java
+++ b/src/main/java/ivybank/tally/SecondTally.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Counts events until the second ends, and then starts anew; the number of held connections is carried over. Memory is bounded by
- * the nodes with a connection or with an attempt within the second. Not thread-safe.
+ * Counts events until the second ends, and then starts over; the number of held connections is carried over. Memory is
+ * bounded by the nodes with a connection or with an attempt within the second. Not thread-safe.
  */
 public final class SecondTally implements Tally {
 
--- a/src/main/java/ivybank/tally/Stage.java
+++ b/src/main/java/ivybank/tally/Stage.java
@@ -4,19 +4,25 @@
 public enum Stage {
     /** From the request's last byte until its first attempt is started, where the decision module decided at once. */
     DECISION("decision"),
-    /** The same, where the decision module queued the request until a node had free capacity. */
+    /**
+     * From the request's last byte until its first attempt is started, where the decision module queued the request
+     * until a node had free capacity.
+     */
     ROOM("room"),
     /** From the start of an attempt until it is written to an idle connection that had rested. */
     REUSE("reuse"),
-    /** The same, where the attempt waited until a connection had rested. */
+    /** From the start of an attempt until it is written, where the attempt waited until a connection had rested. */
     REST("rest"),
-    /** The same, where the attempt was sent on a connection that had to come up first. */
+    /**
+     * From the start of an attempt until it is written, where the attempt was sent on a connection that had to be
+     * established first.
+     */
     CONNECT("connect"),
     /** From the write of an attempt until the head of its answer has arrived: the network and the node. */
     FIRST_BYTE("first-byte"),
-    /** From there until the answer is complete and its read has ended. */
+    /** From the arrival of the answer's head until the answer is complete and its read has ended. */
     ANSWER_READ("answer-read"),
-    /** From there until the answer is written to the client's connection. */
+    /** From the end of that read until the answer is written to the client's connection. */
     ANSWER_WRITTEN("answer-written");
 
     private final String key;
@@ -25,7 +31,7 @@
         this.key = key;
     }
 
-    /** Returns its name in a log line and in JSON files. */
+    /** Returns the stage's name in a log line and in JSON files. */
     public String key() {
         return key;
     }
--- a/src/main/java/ivybank/tally/Tally.java
+++ b/src/main/java/ivybank/tally/Tally.java
@@ -30,13 +30,13 @@
     /** The opening of a connection to a node has started. */
     default void connectionStarted(String node) {}
 
-    /** The number of connections that are open or coming up has changed: one was started, or one has ended. */
+    /** The number of connections that are open or being established has changed: one was started, or one has ended. */
     default void connectionsHeld(String node, int change) {}
 
     /** This many connections are idle at the end of the second. */
     default void connectionsIdle(String node, int count) {}
 
-    /** A connection was refused, never came up, or broke before it was used. */
+    /** A connection was refused, was never established, or broke before it was used. */
     default void connectionFailed(String node) {}
 
     /** An attempt was sent. */
