--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -31,8 +31,8 @@
 final class Handover {
 
     /**
-     * The write interval while another process reads the files, and how many such intervals pass between writes while
-     * none does.
+     * The write interval while another process reads the files. While none does, a file is written once per {@link
+     * #INTERVALS_PER_WRITE_ALONE} such intervals.
      */
     private static final long WRITE_INTERVAL_MS = 50;
 
--- a/src/main/java/ivybank/daemon/RequestDeadline.java
+++ b/src/main/java/ivybank/daemon/RequestDeadline.java
@@ -9,7 +9,7 @@
  */
 final class RequestDeadline {
 
-    /** The time reserved for returning the answer: this much, or this fraction of a short budget. */
+    /** The time reserved for returning the answer; with a short budget, {@link #RESERVE_FRACTION} of the budget. */
     private static final double RESERVE_MS = 20;
 
     private static final double RESERVE_FRACTION = 0.1;
@@ -19,8 +19,8 @@
      */
     private static final double BACKSTOP_FRACTION = 0.5;
     /**
-     * The minimum time left to a request that may have been buffered in its socket for longer than its budget: this
-     * much, or this fraction of a short budget.
+     * The minimum time left to a request that may have been buffered in its socket for longer than its budget; with a
+     * short budget, {@link #MIN_LEFT_FRACTION} of the budget.
      */
     private static final double MIN_LEFT_MS = 500;
 
--- a/src/main/java/ivybank/handover/LearnedState.java
+++ b/src/main/java/ivybank/handover/LearnedState.java
@@ -34,7 +34,7 @@
     /**
      * The state of one node since its start at {@code startedMs} (0: long ago).
      *
-     * @param rank its position in the random order whose first members are the subset
+     * @param rank its random number from 0 to 1; the nodes with the lowest ranks form the subset
      * @param share its share of the load; 0 where it was not selected from
      * @param window the maximum number of attempts in flight
      * @param inFlight the current number of attempts in flight
--- a/src/main/java/ivybank/promises/PromiseRecord.java
+++ b/src/main/java/ivybank/promises/PromiseRecord.java
@@ -10,9 +10,9 @@
 
     private static final byte KIND_SENT = 1;
     private static final byte KIND_ACKED = 2;
-    /** Kind and time. */
+    /** The number of bytes of the kind and the time. */
     private static final int SENT_BYTES = 9;
-    /** Kind, time, status and the length of the content type. */
+    /** The number of bytes of the kind, the time, the status and the length of the content type. */
     private static final int ACKED_HEADER_BYTES = 13;
 
     /** Encodes the record for the store. */
--- a/src/main/java/ivybank/tally/Stage.java
+++ b/src/main/java/ivybank/tally/Stage.java
@@ -22,7 +22,7 @@
     FIRST_BYTE("first-byte"),
     /** From the arrival of the answer's head until the answer is complete and its read has ended. */
     ANSWER_READ("answer-read"),
-    /** From the end of that read until the answer is written to the client's connection. */
+    /** From the end of the read that completed the answer until the answer is written to the client's connection. */
     ANSWER_WRITTEN("answer-written");
 
     private final String key;
