--- a/src/main/java/ivybank/client/ClientConnection.java
+++ b/src/main/java/ivybank/client/ClientConnection.java
@@ -233,7 +233,7 @@
     /** Answers the current request, which will never be complete and so has not run. */
     private void abort(int status) {
         Arrival arrival = current;
-        handler.cancel(currentId);
+        handler.clientDisconnected(currentId);
         answer(arrival, Answer.status(status));
     }
 
@@ -700,7 +700,7 @@
         if (current != null) {
             BodyPipe unfinished = isRequestIncomplete() ? current.request().remainingBody() : null;
             current = null;
-            handler.cancel(currentId);
+            handler.clientDisconnected(currentId);
             if (outgoingBody != null) {
                 outgoingBody.abandon();
             }
@@ -746,7 +746,7 @@
     /** Fails the current request and ends the connection after its answer. */
     private void failCurrent() {
         inputEnded = true;
-        handler.cancel(currentId);
+        handler.clientDisconnected(currentId);
         current = new Arrival(current.request(), 0, false, current.http10());
         answer(current, Answer.status(HttpStatus.BAD_GATEWAY));
     }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -262,12 +262,12 @@
     }
 
     @Override
-    public void cancel(int id) {
+    public void clientDisconnected(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.closed) {
             counters.abandoned++;
             close(exchange);
-            events.deliver(() -> balancer.clientLeft(clock.nowMs(), id));
+            events.deliver(() -> balancer.clientDisconnected(clock.nowMs(), id));
             exchange.abandonUnsent();
         }
     }
@@ -282,7 +282,7 @@
             log.line("request " + exchange.id + " of class " + exchange.request.requestClass()
                     + " was still open at its deadline after " + exchange.attempts.size() + " attempts: failed");
             answer(exchange, Answer.status(GATEWAY_TIMEOUT));
-            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            events.deliver(() -> balancer.clientDisconnected(clock.nowMs(), exchange.id));
         }
     }
 
@@ -297,7 +297,7 @@
         for (Exchange exchange : open) {
             counters.failed++;
             answer(exchange, Answer.status(BAD_GATEWAY));
-            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            events.deliver(() -> balancer.clientDisconnected(clock.nowMs(), exchange.id));
         }
     }
 
@@ -407,7 +407,7 @@
         if (!exchange.closed) {
             counters.refused++;
             answer(exchange, Answer.refused(settings.limits().maxRetryAfterMs()));
-            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            events.deliver(() -> balancer.clientDisconnected(clock.nowMs(), exchange.id));
         }
     }
 
--- a/src/main/java/ivybank/emulator/SidecarModel.java
+++ b/src/main/java/ivybank/emulator/SidecarModel.java
@@ -166,7 +166,7 @@
         simulation.after(budgetMs, () -> {
             if (!ended && !exchange.over) {
                 exchange.over = true;
-                tell(() -> balancer.clientLeft(simulation.nowMs(), exchange.id));
+                tell(() -> balancer.clientDisconnected(simulation.nowMs(), exchange.id));
                 answer.answered(false);
             }
             simulation.after(1000, () -> exchanges.remove(exchange.id));
--- a/src/main/java/ivybank/exchange/RequestHandler.java
+++ b/src/main/java/ivybank/exchange/RequestHandler.java
@@ -20,6 +20,9 @@
     /** Notifies that the last byte of a long request has been received, from which on its time counts. */
     void bodyCompleted(int number);
 
-    /** Cancels a request whose client no longer waits for its answer. */
-    void cancel(int number);
+    /**
+     * Cancels a request that needs no answer from this handler any more: its client has disconnected, or its connection
+     * answers it.
+     */
+    void clientDisconnected(int number);
 }
--- a/src/main/java/ivybank/policy/Balancer.java
+++ b/src/main/java/ivybank/policy/Balancer.java
@@ -32,8 +32,8 @@
     /** Called when an attempt has ended. Each attempt that was sent ends exactly once. */
     void attemptEnded(double nowMs, AttemptEnd end);
 
-    /** Called when the client has disconnected; the request needs no answer any more. */
-    void clientLeft(double nowMs, int request);
+    /** Called when the client has disconnected or was answered by the sidecar itself; the request needs no answer any more. */
+    void clientDisconnected(double nowMs, int request);
 
     /** Called when a timer that was set by {@link Actions#timer} is due. */
     void timer(double nowMs, int token);
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -556,7 +556,7 @@
     }
 
     @Override
-    public void clientLeft(double nowMs, int request) {
+    public void clientDisconnected(double nowMs, int request) {
         Call call = calls.get(request);
         if (call != null && !call.completed) {
             waitingCalls.remove(call.queue, call);
--- a/src/main/java/ivybank/promises/PromiseRequestHandler.java
+++ b/src/main/java/ivybank/promises/PromiseRequestHandler.java
@@ -52,7 +52,7 @@
     private static final class Waiter {
         final Consumer<Answer> client;
         ScheduledFuture<?> timeout;
-        /** The number by which cancel identifies the client. */
+        /** The number by which {@link #clientDisconnected} identifies the client. */
         int number;
 
         boolean completed;
@@ -432,16 +432,16 @@
     }
 
     @Override
-    public void cancel(int number) {
+    public void clientDisconnected(int number) {
         Promise promise = byRequestNumber.remove(number);
         if (promise == null) {
-            dispatcher.cancel(number);
+            dispatcher.clientDisconnected(number);
             return;
         }
         promise.waiters.stream().filter(waiter -> waiter.number == number).forEach(Waiter::cancel);
         if (promise.waiters.stream().allMatch(waiter -> waiter.completed)
                 && !promise.settled) { // otherwise another client still waits
-            dispatcher.cancel(promise.number);
+            dispatcher.clientDisconnected(promise.number);
             promise.settled = true;
             finish(promise, promise.unresolvedAttempts == 0);
         }
--- a/src/main/java/ivybank/simhost/SimHost.java
+++ b/src/main/java/ivybank/simhost/SimHost.java
@@ -159,7 +159,7 @@
             }
             case 6 -> {
                 int id = batch.u32();
-                deliver(instance, balancer, () -> balancer.clientLeft(now, id));
+                deliver(instance, balancer, () -> balancer.clientDisconnected(now, id));
             }
             case 7 -> {
                 int token = batch.u32();
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -159,7 +159,7 @@
         });
         Runnable store = record.storeRequest.get(5, TimeUnit.SECONDS);
         onLoop(() -> {
-            dispatcher.cancel(id);
+            dispatcher.clientDisconnected(id);
             return null;
         });
         assertEquals(Outcome.NOT_SENT, ends.poll(5, TimeUnit.SECONDS).outcome());
--- a/src/test/java/ivybank/policy/NoOpBalancer.java
+++ b/src/test/java/ivybank/policy/NoOpBalancer.java
@@ -24,7 +24,7 @@
     public void attemptEnded(double nowMs, AttemptEnd end) {}
 
     @Override
-    public void clientLeft(double nowMs, int request) {}
+    public void clientDisconnected(double nowMs, int request) {}
 
     @Override
     public void timer(double nowMs, int token) {}
--- a/src/test/java/ivybank/policy/RuleCheckingSidecar.java
+++ b/src/test/java/ivybank/policy/RuleCheckingSidecar.java
@@ -157,7 +157,7 @@
 
     void disconnectClient(int request) {
         requests.get(request).completed = true;
-        balancer.clientLeft(nowMs, request);
+        balancer.clientDisconnected(nowMs, request);
     }
 
     /** Advances the time and runs the timers and timeouts that fall due. */
--- a/src/test/java/ivybank/policy/RulesTest.java
+++ b/src/test/java/ivybank/policy/RulesTest.java
@@ -139,8 +139,8 @@
         sidecar.endAttempt(attempt, Outcome.OK);
         int before = sidecar.actions.size();
         sidecar.endAttempt(attempt, Outcome.ERROR);
-        sidecar.balancer.clientLeft(sidecar.nowMs, request);
-        sidecar.balancer.clientLeft(sidecar.nowMs, 999);
+        sidecar.balancer.clientDisconnected(sidecar.nowMs, request);
+        sidecar.balancer.clientDisconnected(sidecar.nowMs, 999);
         sidecar.balancer.attemptEnded(
                 sidecar.nowMs, new Balancer.AttemptEnd(999, 0, 1, Outcome.OK, 1, true, new double[0]));
         sidecar.balancer.streamStarted(sidecar.nowMs, 999, 0, 1);
--- a/src/test/java/ivybank/promises/PromiseRequestHandlerTest.java
+++ b/src/test/java/ivybank/promises/PromiseRequestHandlerTest.java
@@ -164,7 +164,7 @@
         public void bodyCompleted(int number) {}
 
         @Override
-        public void cancel(int number) {
+        public void clientDisconnected(int number) {
             // The test decides the outcome of the request.
         }
     }
--- a/src/test/java/ivybank/rehearsal/MutantsTest.java
+++ b/src/test/java/ivybank/rehearsal/MutantsTest.java
@@ -215,7 +215,7 @@
                     List.of("rule departed"),
                     List.of(new Edit(
                             "client/ClientConnection.java",
-                            "            current = null;\n            handler.cancel(currentId);",
+                            "            current = null;\n            handler.clientDisconnected(currentId);",
                             "            current = null;"))),
             new Mutant(
                     "exits with an answer owed",
