--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -246,7 +246,7 @@
             if (exchange.streamingAttempt < 0) {
                 startBackstop(exchange, budgetMs);
             }
-            events.deliver(() -> balancer.arrived(
+            events.deliver(() -> balancer.bodyCompleted(
                     clock.nowMs(), id, Math.max(0, budgetMs - RequestDeadline.reserveMs(exchange.request))));
         }
     }
--- a/src/main/java/ivybank/policy/Balancer.java
+++ b/src/main/java/ivybank/policy/Balancer.java
@@ -24,7 +24,7 @@
     void request(double nowMs, Request request);
 
     /** Called when the last byte of an arriving request was received; its timeout starts now. */
-    void arrived(double nowMs, int request, double timeoutMs);
+    void bodyCompleted(double nowMs, int request, double timeoutMs);
 
     /** Called when the answer of a streamed request has begun; this attempt now serves the client until it ends. */
     void streamStarted(double nowMs, int request, int attempt, double elapsedMs);
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void arrived(double nowMs, int request, double timeoutMs) {
+    public void bodyCompleted(double nowMs, int request, double timeoutMs) {
         Call call = calls.get(request);
         if (call != null && call.arriving) {
             call.arriving = false;
--- a/src/test/java/ivybank/policy/NoOpBalancer.java
+++ b/src/test/java/ivybank/policy/NoOpBalancer.java
@@ -15,7 +15,7 @@
     public void request(double nowMs, Request request) {}
 
     @Override
-    public void arrived(double nowMs, int request, double timeoutMs) {}
+    public void bodyCompleted(double nowMs, int request, double timeoutMs) {}
 
     @Override
     public void streamStarted(double nowMs, int request, int attempt, double elapsedMs) {}
