--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -87,7 +87,7 @@
             log.line("taking over what another process has learned of "
                     + snapshot.learned().nodes().size() + " nodes, " + Math.round(nowMs - snapshot.writtenMs())
                     + " ms ago, believed to " + Math.round(100 * snapshot.confidence(nowMs)) + "%");
-            loop.execute(() -> dispatcher.recall(snapshot.learned(), snapshot.confidence(nowMs)));
+            loop.execute(() -> dispatcher.restore(snapshot.learned(), snapshot.confidence(nowMs)));
         });
     }
 
--- a/src/main/java/ivybank/daemon/InheritedState.java
+++ b/src/main/java/ivybank/daemon/InheritedState.java
@@ -21,7 +21,7 @@
     private final Balancer balancer;
     private final ModuleEvents events;
     private final Clock clock;
-    private final Set<Integer> recalled = new HashSet<>();
+    private final Set<Integer> restored = new HashSet<>();
     /** The inherited state until discovery has sent its first full list, then null; null where there is none. */
     private LearnedState<String> learned;
 
@@ -40,35 +40,35 @@
      * @param confidence the confidence in that state, from 0 to 1
      */
     void take(LearnedState<String> other, double confidence) {
-        recalled.clear();
+        restored.clear();
         learned = other;
         this.confidence = confidence;
-        recall();
+        restore();
     }
 
     /**
-     * Handles a change of the list: recalls the nodes that it names now. After a full list nothing more is recalled.
+     * Handles a change of the list: restores the nodes that it names now. After a full list nothing more is restored.
      */
     void listed(ListKind kind) {
         if (learned != null) {
-            recall();
+            restore();
             learned = kind == ListKind.FULL ? null : learned;
         }
     }
 
-    private void recall() {
+    private void restore() {
         List<Upstream> changed = new ArrayList<>();
         learned.nodes()
                 .forEach((host, node) -> changed.addAll(directory.restoreStart(host, node.startedMs(), clock.nowMs())));
         if (!changed.isEmpty()) {
             events.deliver(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, changed));
         }
-        LearnedState<String> rest = recalled.isEmpty() ? learned : learned.nodesOnly();
+        LearnedState<String> rest = restored.isEmpty() ? learned : learned.nodesOnly();
         LearnedState<Integer> here = rest.withStarts(directory::startByLocalClockMs)
                 .withKeys(host -> {
                     Integer number = directory.number(host);
-                    return number != null && recalled.add(number) ? number : null;
+                    return number != null && restored.add(number) ? number : null;
                 });
-        events.deliver(() -> balancer.recall(here, confidence));
+        events.deliver(() -> balancer.restore(here, confidence));
     }
 }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -141,7 +141,7 @@
      * Takes over what another process of this sidecar has learned, weighted by the confidence in it: for the nodes that
      * are listed now, and for those in the first full list of discovery.
      */
-    void recall(LearnedState<String> learned, double confidence) {
+    void restore(LearnedState<String> learned, double confidence) {
         inheritedState.take(learned, confidence);
     }
 
--- a/src/main/java/ivybank/handover/HandoverParticipant.java
+++ b/src/main/java/ivybank/handover/HandoverParticipant.java
@@ -18,7 +18,7 @@
      * Restores what another process has learned, weighted by the confidence in it (0 to 1). State of nodes that are not listed is
      * dropped. Where the number of classes differs, only the state of nodes is restored.
      */
-    default void recall(LearnedState<Integer> other, double confidence) {}
+    default void restore(LearnedState<Integer> other, double confidence) {}
 
     /**
      * Sets the attempts that the other processes of the sidecar have in flight, by node, and this process's share of the requests
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -422,7 +422,7 @@
     }
 
     @Override
-    public void recall(LearnedState<Integer> other, double confidence) {
+    public void restore(LearnedState<Integer> other, double confidence) {
         if (other.classes().size() == classes.size()) {
             admittedFraction = Confidence.blend(admittedFraction, other.admittedShare(), confidence);
             retryBudget = Confidence.blend(retryBudget, Math.min(MAX_RETRY_BUDGET, other.extraAttempts()), confidence);
--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -47,7 +47,7 @@
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.nowMs = previous.nowMs;
         next.listReady(14);
-        next.balancer.recall(learned, 1);
+        next.balancer.restore(learned, 1);
         LearnedState<Integer> restored = next.balancer.learned();
         learned.nodes().forEach((id, node) -> {
             assertEquals(node.share(), restored.nodes().get(id).share(), 1e-9, "upstream " + id);
@@ -66,7 +66,7 @@
         RuleCheckingSidecar previous = previous();
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.listReady(14);
-        next.balancer.recall(previous.balancer.learned(), 0.5);
+        next.balancer.restore(previous.balancer.learned(), 0.5);
         double sum = 0;
         for (int id = 1; id <= 14; id++) {
             sum += share(next, id);
@@ -89,7 +89,7 @@
                 .findFirst()
                 .orElseThrow();
         next.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(restarted, Status.READY, next.nowMs));
-        next.balancer.recall(previous.balancer.learned(), 1);
+        next.balancer.restore(previous.balancer.learned(), 1);
         assertEquals(fresh, next.balancer.learned().nodes().get(restarted).window(), "the limit of a new node");
     }
 
@@ -99,7 +99,7 @@
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.listReady(3);
         LearnedState<Integer> learned = previous.balancer.learned();
-        next.balancer.recall(new LearnedState<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
+        next.balancer.restore(new LearnedState<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
         assertEquals(3, next.balancer.learned().nodes().size());
         assertEquals(1, next.balancer.learned().admittedShare(), "state of other classes is ignored");
         sendRequests(next, 1000);
@@ -112,7 +112,7 @@
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.nowMs = previous.nowMs;
         next.listReady(14);
-        next.balancer.recall(previous.balancer.learned(), 1);
+        next.balancer.restore(previous.balancer.learned(), 1);
         double limits = 0;
         for (LearnedState.NodeState node : previous.balancer.learned().nodes().values()) {
             limits += node.share() > 0 ? Math.max(1, node.window()) : 0;
