--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -127,7 +127,7 @@
         int usedDescriptors = siblingPresent ? EXTRA_DESCRIPTORS : 0;
         for (HandoverSnapshot snapshot : siblingPresent ? readOthers() : List.<HandoverSnapshot>of()) {
             if (snapshot.isFresh(nowMs)) {
-                unanswered += snapshot.inHand();
+                unanswered += snapshot.unansweredRequests();
                 usedDescriptors += snapshot.descriptors();
                 snapshot.learned().nodes().forEach((host, node) -> inFlight.merge(host, node.inFlight(), Integer::sum));
             }
--- a/src/main/java/ivybank/handover/HandoverSnapshot.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshot.java
@@ -4,11 +4,12 @@
  * The state that one process publishes for the other processes of its sidecar.
  *
  * @param writtenMs the time by the machine's monotonic clock, in milliseconds, because the wall clock may be stepped meanwhile
- * @param inHand the number of client requests that it has not answered yet
+ * @param unansweredRequests the number of client requests that it has not answered yet
  * @param descriptors the number of descriptors that it holds for connections
  * @param learned the learned state, by the node ids of discovery
  */
-public record HandoverSnapshot(double writtenMs, int inHand, int descriptors, LearnedState<String> learned) {
+public record HandoverSnapshot(
+        double writtenMs, int unansweredRequests, int descriptors, LearnedState<String> learned) {
 
     /** The snapshot of a running process is at most this old. */
     private static final double MAX_FRESH_AGE_MS = 2000;
@@ -18,7 +19,7 @@
     private static final double MIN_AGE_MS = -1000;
 
     public HandoverSnapshot {
-        if (!(writtenMs > 0) || inHand < 0 || descriptors < 0) {
+        if (!(writtenMs > 0) || unansweredRequests < 0 || descriptors < 0) {
             throw new IllegalArgumentException("invalid handover snapshot");
         }
     }
--- a/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -59,7 +59,9 @@
                 + 20 * learned.classes().size()
                 + 12 * learned.maxRateByKind().size());
         out.putInt(MAGIC).putShort(VERSION).putInt(0);
-        out.putDouble(snapshot.writtenMs()).putInt(snapshot.inHand()).putInt(snapshot.descriptors());
+        out.putDouble(snapshot.writtenMs())
+                .putInt(snapshot.unansweredRequests())
+                .putInt(snapshot.descriptors());
         out.putDouble(learned.admittedShare()).putDouble(learned.extraAttempts());
         out.putInt(learned.classes().size());
         learned.classes()
@@ -112,7 +114,7 @@
 
     private static HandoverSnapshot readBody(ByteBuffer in) {
         double writtenMs = in.getDouble();
-        int inHand = in.getInt();
+        int unansweredRequests = in.getInt();
         int descriptors = in.getInt();
         double admittedShare = in.getDouble();
         double extraAttempts = in.getDouble();
@@ -135,7 +137,7 @@
         }
         return new HandoverSnapshot(
                 writtenMs,
-                inHand,
+                unansweredRequests,
                 descriptors,
                 new LearnedState<>(admittedShare, extraAttempts, classes, nodes, maxRateByKind));
     }
