--- a/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
+++ b/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
@@ -7,8 +7,8 @@
  */
 public final class ConcurrencyLimit {
 
-    private static final double MAX_QUIET_RATIO =
-            1.3; // an answer that takes more quiet latencies than this shrinks the limit
+    private static final double MAX_BASELINE_RATIO =
+            1.3; // an answer that takes more baseline latencies than this shrinks the limit
     private static final double MAX_GROWTH = 0.25; // attempts added by one quick answer, at most
     private static final double MAX_REDUCTION = 0.5; // attempts taken off by one slow answer, at most
     /** Fraction of its minimum that one of many sidecars keeps at a slow node; with all of it, congestion never clears. */
@@ -41,14 +41,14 @@
     }
 
     /**
-     * Records that an attempt was sent. A limit below one is a rate: the next attempt waits so long that, at the typical
+     * Records that an attempt was sent. A limit below one is a rate: the next attempt waits so long that, at the median
      * latency, the mean number in flight equals the limit. Otherwise each of a hundred sidecars may always have one attempt at
      * each node, and together they congest it.
      */
-    public void sent(double nowMs, double typicalMs) {
+    public void sent(double nowMs, double medianMs) {
         inFlight++;
         if (size < 1) {
-            nextSendMs = Math.max(nextSendMs, nowMs + typicalMs / Math.max(size, MIN_RATE));
+            nextSendMs = Math.max(nextSendMs, nowMs + medianMs / Math.max(size, MIN_RATE));
         }
     }
 
@@ -71,8 +71,8 @@
      * @param minSize this sidecar's part of the node's capacity, the lower bound of the limit. If it is one or less, the bound
      *        is only a fraction of it: each of many sidecars rarely sends to a node and learns late that it is slow
      */
-    public void answered(double nowMs, double latencyMs, double quietMs, double typicalMs, double minSize) {
-        double change = Math.min(MAX_GROWTH, MAX_QUIET_RATIO * quietMs / latencyMs - 1);
+    public void answered(double nowMs, double latencyMs, double baselineMs, double medianMs, double minSize) {
+        double change = Math.min(MAX_GROWTH, MAX_BASELINE_RATIO * baselineMs / latencyMs - 1);
         if (change < 0) {
             // The node was slow with this many attempts in flight, so a larger limit that was not reached
             // does not count. Otherwise a limit that had grown on quick answers takes a dozen slow ones to
@@ -80,19 +80,19 @@
             size = Math.min(size, Math.max(1, inFlight + siblingInFlight + 1));
             change = Math.max(-MAX_REDUCTION, change) * Math.min(1, size);
             size = Math.max(minSize > 1 ? minSize : MIN_PART_FOR_SLOW_NODE * minSize, size + change);
-            nextSendMs = Math.max(nextSendMs, nowMs + typicalMs * Math.max(0, 1 / Math.max(size, MIN_RATE) - 1));
+            nextSendMs = Math.max(nextSendMs, nowMs + medianMs * Math.max(0, 1 / Math.max(size, MIN_RATE) - 1));
         } else if (inFlight + siblingInFlight + 1 >= size / 2) {
             size += change; // not set to 1 at once: one quick answer does not show that a congested node has recovered
         }
     }
 
     /**
-     * Records a failure and holds its slot for as long as a typical answer would. Otherwise a node that fails at once appears
+     * Records a failure and holds its slot for as long as an answer of median latency would. Otherwise a node that fails at once appears
      * to have the most free capacity of all.
      */
-    public void failed(double nowMs, double elapsedMs, double typicalMs) {
-        double earlyMs = Math.max(0, typicalMs - elapsedMs) / Math.max(1, size);
-        double nextMs = Math.min(Math.max(nowMs, nextSendMs) + earlyMs, nowMs + typicalMs);
+    public void failed(double nowMs, double elapsedMs, double medianMs) {
+        double earlyMs = Math.max(0, medianMs - elapsedMs) / Math.max(1, size);
+        double nextMs = Math.min(Math.max(nowMs, nextSendMs) + earlyMs, nowMs + medianMs);
         nextSendMs = Math.max(nextSendMs, nextMs);
     }
 }
--- a/src/main/java/ivybank/concurrency/LatencyTracker.java
+++ b/src/main/java/ivybank/concurrency/LatencyTracker.java
@@ -3,44 +3,44 @@
 import ivybank.handover.Confidence;
 import ivybank.handover.LearnedState;
 
-/** Tracks the running median latency of similar requests, and its value while the nodes are quiet; in milliseconds. */
+/** Tracks the running median latency of similar requests, and a baseline, its value while the nodes are quiet; in milliseconds. */
 public class LatencyTracker {
 
-    private double typicalMs;
-    private double quietMs; // 0 while unknown
+    private double medianMs;
+    private double baselineMs; // 0 while unknown
     private int answers;
 
-    protected LatencyTracker(double typicalMs) {
-        this.typicalMs = typicalMs;
+    protected LatencyTracker(double medianMs) {
+        this.medianMs = medianMs;
     }
 
-    public double typicalMs() {
-        return typicalMs;
+    public double medianMs() {
+        return medianMs;
     }
 
-    /** Returns the latency of quiet nodes, or the typical latency until there are enough answers to know it. */
-    public double quietMs() {
-        return quietMs > 0 ? quietMs : typicalMs;
+    /** Returns the baseline, the latency of quiet nodes, or the median latency until there are enough answers to know it. */
+    public double baselineMs() {
+        return baselineMs > 0 ? baselineMs : medianMs;
     }
 
     /** Records the latency of an answer. */
     public void answered(double latencyMs, double minStep) {
         answers++;
-        moveTypical(latencyMs, minStep);
+        moveMedian(latencyMs, minStep);
     }
 
     /** Moves the running median towards one latency, in steps that shrink to {@code minStep} as answers accumulate. */
-    public void moveTypical(double latencyMs, double minStep) {
-        // The step stays below 1: a first timeout below the typical latency
+    public void moveMedian(double latencyMs, double minStep) {
+        // The step stays below 1: a first timeout below the median latency
         // would set that to zero and every share to NaN.
         double step = Math.max(minStep, 1.0 / (2 + answers));
-        typicalMs *= latencyMs > typicalMs ? 1 + step : 1 - step;
+        medianMs *= latencyMs > medianMs ? 1 + step : 1 - step;
     }
 
-    /** Ends a tick: once there are {@code minAnswers} answers, the quiet latency follows the typical one. */
+    /** Ends a tick: once there are {@code minAnswers} answers, the baseline latency follows the median. */
     protected void tick(double minAnswers, double decay) {
         if (answers >= minAnswers) {
-            quietMs = quietMs > 0 ? follow(quietMs, typicalMs, decay) : typicalMs;
+            baselineMs = baselineMs > 0 ? follow(baselineMs, medianMs, decay) : medianMs;
         }
     }
 
@@ -53,15 +53,15 @@
     }
 
     public LearnedState.ClassState learned() {
-        return new LearnedState.ClassState(typicalMs, quietMs, answers);
+        return new LearnedState.ClassState(medianMs, baselineMs, answers);
     }
 
     /** Takes over the statistics of another process, weighted by a confidence between 0 and 1. */
     public void restore(LearnedState.ClassState other, double confidence) {
-        typicalMs = Confidence.blend(typicalMs, other.typicalMs(), confidence);
-        quietMs = other.quietMs() * confidence >= typicalMs / 2
-                ? other.quietMs()
-                : 0; // a doubtful value far below the typical latency would mislead
+        medianMs = Confidence.blend(medianMs, other.medianMs(), confidence);
+        baselineMs = other.baselineMs() * confidence >= medianMs / 2
+                ? other.baselineMs()
+                : 0; // a doubtful value far below the median latency would mislead
         answers = (int) (other.answers() * confidence);
     }
 }
--- a/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -65,8 +65,8 @@
         out.putDouble(learned.admittedShare()).putDouble(learned.extraAttempts());
         out.putInt(learned.classes().size());
         learned.classes()
-                .forEach(state -> out.putDouble(state.typicalMs())
-                        .putDouble(state.quietMs())
+                .forEach(state -> out.putDouble(state.medianMs())
+                        .putDouble(state.baselineMs())
                         .putInt(state.answers()));
         out.putInt(learned.maxRateByKind().size());
         learned.maxRateByKind().forEach((kind, perMs) -> out.putInt(kind).putDouble(perMs));
--- a/src/main/java/ivybank/handover/LearnedState.java
+++ b/src/main/java/ivybank/handover/LearnedState.java
@@ -26,10 +26,10 @@
         Map<Integer, Double> maxRateByKind) {
 
     /**
-     * The state of a request class: the running median of its latencies, that median under light load (0: unknown), and the number
+     * The state of a request class: the running median of its latencies, the baseline, which is that median while the nodes are quiet (0: unknown), and the number
      * of answers that it is based on.
      */
-    public record ClassState(double typicalMs, double quietMs, int answers) {}
+    public record ClassState(double medianMs, double baselineMs, int answers) {}
 
     /**
      * The state of one node since its start at {@code startedMs} (0: long ago).
@@ -66,9 +66,9 @@
             throw new IllegalArgumentException("invalid state of a sidecar");
         }
         for (ClassState state : classes) {
-            if (!(state.typicalMs > 0
-                    && state.typicalMs < Double.MAX_VALUE
-                    && state.quietMs >= 0
+            if (!(state.medianMs > 0
+                    && state.medianMs < Double.MAX_VALUE
+                    && state.baselineMs >= 0
                     && state.answers >= 0)) {
                 throw new IllegalArgumentException("invalid state of a request class");
             }
--- a/src/main/java/ivybank/policy/Attempt.java
+++ b/src/main/java/ivybank/policy/Attempt.java
@@ -43,7 +43,7 @@
         sentMs = nowMs;
         countsAsLoad = true;
         host.attempts.addLast(this);
-        host.concurrency.sent(nowMs, call.statistics.typicalMs());
+        host.concurrency.sent(nowMs, call.statistics.medianMs());
         host.activeRequests++;
     }
 
--- a/src/main/java/ivybank/policy/ClassStatistics.java
+++ b/src/main/java/ivybank/policy/ClassStatistics.java
@@ -13,8 +13,8 @@
     /** The longest timeout of a request of this class. */
     double longestTimeoutMs;
 
-    ClassStatistics(Balancer.RequestClass spec, double typicalMs) {
-        super(typicalMs);
+    ClassStatistics(Balancer.RequestClass spec, double medianMs) {
+        super(medianMs);
         this.spec = spec;
     }
 
@@ -26,7 +26,7 @@
         return offered > 0 ? served / offered : 1;
     }
 
-    /** Ends a tick: decays the counts and lets the quiet latency follow the typical one. */
+    /** Ends a tick: decays the counts and lets the baseline latency follow the median. */
     void tick(double keptFraction, double minAnswers, double decay) {
         offered *= keptFraction;
         served *= keptFraction;
--- a/src/main/java/ivybank/policy/Host.java
+++ b/src/main/java/ivybank/policy/Host.java
@@ -19,7 +19,7 @@
     double share;
     /** The weight in the current draw: the share, or 0 if the node is excluded. */
     double weight;
-    /** Latencies since the last update of the shares, each divided by the typical latency of its class. */
+    /** Latencies since the last update of the shares, each divided by the median latency of its class. */
     final Mean latencies = new Mean();
     /** The limit on the attempts in flight, and their number. */
     final ConcurrencyLimit concurrency = new ConcurrencyLimit();
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -34,18 +34,18 @@
     private static final double MIN_PART_OF_MEAN_SHARE = 0.1;
     /** Smallest relative step of a running median per answer. */
     private static final double MIN_MEDIAN_STEP = 0.02;
-    /** How often the typical latency fits into the aim, as assumed before there are answers. */
+    /** How often the median latency fits into the aim, as assumed before there are answers. */
     private static final double INITIAL_LATENCIES_PER_AIM = 4;
-    /** Number of answers of a class after which its quiet latency follows the typical one. */
+    /** Number of answers of a class after which its baseline latency follows the median. */
     private static final double SMOOTHING_ANSWERS = 32;
-    /** Relative rise of the quiet latency per update, as machines change. */
+    /** Relative rise of the baseline latency per update, as machines change. */
     private static final double QUIET_LATENCY_DECAY = 0.005;
     /**
      * Number of failures in a row that is unlikely to be chance; also the mean number of samples per member from which an update
      * counts as well sampled.
      */
     private static final int SIGNIFICANT_COUNT = 3;
-    /** Silence of a node that is significant, in typical latencies; half of it if several attempts are in flight. */
+    /** Silence of a node that is significant, in median latencies; half of it if several attempts are in flight. */
     private static final double SILENCE_LATENCIES = 6;
     /** Longest pause between trials of a node that is set aside; faults last for seconds. */
     private static final double MAX_TRIAL_INTERVAL_MS = 4000;
@@ -61,7 +61,7 @@
     private static final double COUNT_DECAY = 0.02;
     /** Cost of the probes of one attempt, at most, as a fraction of the worth of a request. */
     private static final double MAX_PROBE_COST = 0.02;
-    /** Longest wait in a queue, in typical latencies; a waiting request occupies a connection of the client. */
+    /** Longest wait in a queue, in median latencies; a waiting request occupies a connection of the client. */
     private static final double MAX_WAIT_LATENCIES = 0.3;
     /** Fraction of the aim after which an attempt counts as late; a request that takes longer is about to miss its aim. */
     private static final double LATE_PART_OF_AIM = 0.75;
@@ -173,7 +173,9 @@
         offered[queue]++;
         subset.requestReceived(
                 nowMs,
-                clientRetry ? 0 : Math.min(statistics.quietMs(), statistics.spec.aimMs() / INITIAL_LATENCIES_PER_AIM));
+                clientRetry
+                        ? 0
+                        : Math.min(statistics.baselineMs(), statistics.spec.aimMs() / INITIAL_LATENCIES_PER_AIM));
         calls.put(call.id, call);
         retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRY_BUDGET_PER_REQUEST);
         if (!controlTimerSet) {
@@ -201,7 +203,7 @@
 
     /** Sends the request, lets it wait for probes or for free capacity, or abandons it. */
     private void route(double nowMs, Call call) {
-        if (call.usefulUntilMs - nowMs <= call.statistics.typicalMs() / 2) {
+        if (call.usefulUntilMs - nowMs <= call.statistics.medianMs() / 2) {
             abandon(call, Cause.TIME); // too little time left for a useful answer
         } else if (probesPerAttempt > 0 && call.probedHosts.isEmpty() && probeCandidates(nowMs, call)) {
             probingCalls.add(call);
@@ -217,7 +219,7 @@
         if (host == null) {
             return false;
         }
-        double maxTimeoutMs = trial == null ? Double.MAX_VALUE : SILENCE_LATENCIES * call.statistics.typicalMs();
+        double maxTimeoutMs = trial == null ? Double.MAX_VALUE : SILENCE_LATENCIES * call.statistics.medianMs();
         send(nowMs, call, host, Math.min(maxTimeoutMs, call.usefulUntilMs - nowMs));
         return true;
     }
@@ -231,7 +233,7 @@
                     : call.probedHosts.stream()
                             .filter(probed -> probed.weight > 0 && members.contains(probed))
                             .filter(probed ->
-                                    probed.activeRequests * call.statistics.quietMs() < call.usefulUntilMs - nowMs)
+                                    probed.activeRequests * call.statistics.baselineMs() < call.usefulUntilMs - nowMs)
                             .min(Comparator.comparingDouble(probed -> probed.activeRequests))
                             .orElse(null);
         }
@@ -326,7 +328,7 @@
         for (Host host : members) {
             // A hung node gives no answers, so attempts in flight for longer than usual count with their age.
             host.attempts.stream()
-                    .mapToDouble(attempt -> attempt.ageMs(nowMs) / attempt.call.statistics.typicalMs())
+                    .mapToDouble(attempt -> attempt.ageMs(nowMs) / attempt.call.statistics.medianMs())
                     .filter(ratio -> ratio > 1)
                     .forEach(host.latencies::add);
         }
@@ -481,30 +483,30 @@
             }
             statistics.served++;
             statistics.answered(latencyMs, MIN_MEDIAN_STEP);
-        } else if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED && elapsedMs < statistics.typicalMs()) {
+        } else if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED && elapsedMs < statistics.medianMs()) {
             return;
         } else if (outcome != Outcome.CANCELLED) {
             // A failure counts as if it had taken its whole timeout; otherwise a node that fails at once attracts load.
             latencyMs = Math.max(elapsedMs, attempt.timeoutMs);
             if (outcome == Outcome.TIMEOUT) {
                 // Without this, an overloaded fleet in which every attempt times out would look quiet.
-                statistics.moveTypical(latencyMs, MIN_MEDIAN_STEP);
+                statistics.moveMedian(latencyMs, MIN_MEDIAN_STEP);
             } else if (outcome != Outcome.CONNECT_FAILED) {
                 host.lastResponseMs = nowMs;
             }
             recordHealth(nowMs, host, false);
         }
-        host.latencies.add(latencyMs / statistics.typicalMs());
+        host.latencies.add(latencyMs / statistics.medianMs());
         // The limit prevents queues at nodes and keeps load off congested
         // ones; a member that has reached it is excluded.
         host.concurrency.answered(
                 nowMs,
                 latencyMs,
-                statistics.quietMs(),
-                statistics.typicalMs(),
+                statistics.baselineMs(),
+                statistics.medianMs(),
                 subset.minConcurrency(list.hosts.size()));
         if (outcome != Outcome.OK) {
-            host.concurrency.failed(nowMs, elapsedMs, statistics.typicalMs());
+            host.concurrency.failed(nowMs, elapsedMs, statistics.medianMs());
         }
     }
 
@@ -512,7 +514,7 @@
     private boolean mayResend(double nowMs, Call call) {
         return retryBudget >= 1
                 && call.attempts.size() < settings.limits().maxAttempts()
-                && call.usefulUntilMs - nowMs >= call.statistics.typicalMs()
+                && call.usefulUntilMs - nowMs >= call.statistics.medianMs()
                 && (call.statistics.spec.effect() != Effect.UNSAFE || call.provenNotRun());
     }
 
@@ -590,7 +592,7 @@
     private double coldLoadFraction(double nowMs, Host host, Call call) {
         double warmFraction = host.warmFraction(nowMs, settings.contract());
         // At a node with this fraction of its speed the request must still be answered in time.
-        boolean inTime = call.statistics.quietMs() < warmFraction * (call.usefulUntilMs - nowMs);
+        boolean inTime = call.statistics.baselineMs() < warmFraction * (call.usefulUntilMs - nowMs);
         return warmFraction < 1 && inTime && host.setAsideReason == null
                 ? warmFraction * COLD_LOAD_FACTOR * settings.contract().overloadFactor()
                 : 0;
@@ -601,8 +603,8 @@
      * overload requests wait while all members are full. Those of the highest value are sent first, and among them the newest.
      */
     private boolean abandonIfHopeless(double nowMs, Call call) {
-        boolean hopeless = call.usefulUntilMs - nowMs <= Math.max(controlIntervalMs, call.statistics.typicalMs())
-                || !members.isEmpty() && nowMs - call.waitingSinceMs > MAX_WAIT_LATENCIES * call.statistics.typicalMs();
+        boolean hopeless = call.usefulUntilMs - nowMs <= Math.max(controlIntervalMs, call.statistics.medianMs())
+                || !members.isEmpty() && nowMs - call.waitingSinceMs > MAX_WAIT_LATENCIES * call.statistics.medianMs();
         if (hopeless) {
             abandon(call, Cause.ROOM);
         }
@@ -723,10 +725,10 @@
             host.attempts.forEach(attempt -> countLateness(attempt, attempt.ageMs(nowMs), false));
             Attempt oldest = host.attempts.peekFirst();
             double silentMs = oldest == null ? 0 : nowMs - Math.max(host.lastResponseMs, oldest.sentMs);
-            double typicalMs = oldest == null ? 0 : oldest.call.statistics.typicalMs();
+            double medianMs = oldest == null ? 0 : oldest.call.statistics.medianMs();
             double thresholdMs =
-                    (host.concurrency.inFlight() > 1 ? SILENCE_LATENCIES / 2 : SILENCE_LATENCIES) * typicalMs;
-            if (silentMs > 1.5 * typicalMs && silentMs * host.concurrency.inFlight() > thresholdMs) {
+                    (host.concurrency.inFlight() > 1 ? SILENCE_LATENCIES / 2 : SILENCE_LATENCIES) * medianMs;
+            if (silentMs > 1.5 * medianMs && silentMs * host.concurrency.inFlight() > thresholdMs) {
                 setAside(nowMs, host, "silent for " + Math.round(silentMs) + " ms");
             }
             if (host.setAsideReason != null && enoughSamples && admittedFraction == 1 && waitingCalls.isEmpty()) {
@@ -741,7 +743,7 @@
         boolean allowed = !call.completed
                 && call.attemptsInFlight == 1
                 && settings.limits().secondCopies()
-                && stalled.ageMs(nowMs) > call.statistics.typicalMs()
+                && stalled.ageMs(nowMs) > call.statistics.medianMs()
                 && mayResend(nowMs, call);
         Host other = allowed ? pickHost(nowMs, call) : null;
         if (other != null && other != stalled.host) {
--- a/src/main/java/ivybank/subsetting/SubsetSize.java
+++ b/src/main/java/ivybank/subsetting/SubsetSize.java
@@ -92,7 +92,7 @@
 
     private int size = DEFAULT_SIZE;
     /** Moving average of the requests that would be in flight if the nodes were quiet. */
-    private double quietInFlight;
+    private double baselineInFlight;
 
     private double firstRequestMs = Double.NaN;
     private double lastRequestMs;
@@ -131,14 +131,14 @@
         return Math.min(size, ready);
     }
 
-    /** Records a client's request that quiet nodes would take {@code quietMs} to serve; 0 for a client's retry. */
-    public void requestReceived(double nowMs, double quietMs) {
+    /** Records a client's request that quiet nodes would take {@code baselineMs} to serve; 0 for a client's retry. */
+    public void requestReceived(double nowMs, double baselineMs) {
         if (Double.isNaN(firstRequestMs)) {
             firstRequestMs = nowMs;
             lastRequestMs = nowMs;
         }
-        quietInFlight = quietInFlight * Math.exp(-Math.max(0, nowMs - lastRequestMs) / TRAFFIC_WINDOW_MS)
-                + quietMs / TRAFFIC_WINDOW_MS;
+        baselineInFlight = baselineInFlight * Math.exp(-Math.max(0, nowMs - lastRequestMs) / TRAFFIC_WINDOW_MS)
+                + baselineMs / TRAFFIC_WINDOW_MS;
         lastRequestMs = nowMs;
     }
 
@@ -146,7 +146,7 @@
     int neededSize() {
         // At the start the traffic has been observed for less than the averaging window.
         double observed = 1 - Math.exp(-(lastRequestMs - firstRequestMs) / TRAFFIC_WINDOW_MS);
-        double mean = Double.isNaN(firstRequestMs) ? 0 : quietInFlight / Math.max(MIN_OBSERVED_FRACTION, observed);
+        double mean = Double.isNaN(firstRequestMs) ? 0 : baselineInFlight / Math.max(MIN_OBSERVED_FRACTION, observed);
         return (int) Math.max(baseSize, Math.ceil(mean + HEADROOM_DEVIATIONS * Math.sqrt(mean)));
     }
 
--- a/src/test/java/ivybank/concurrency/ConcurrencyLimitTest.java
+++ b/src/test/java/ivybank/concurrency/ConcurrencyLimitTest.java
@@ -53,13 +53,14 @@
     }
 
     /** Sends whenever the limit allows, with each attempt answered after the latency; returns the number of attempts. */
-    private static int sentWithin(ConcurrencyLimit limit, int durationMs, int latencyMs, int quietMs, double minSize) {
+    private static int sentWithin(
+            ConcurrencyLimit limit, int durationMs, int latencyMs, int baselineMs, double minSize) {
         int sent = 0;
         int answerDueMs = -1;
         for (int ms = 0; ms < durationMs; ms++) {
             if (ms == answerDueMs) {
                 limit.ended();
-                limit.answered(ms, latencyMs, quietMs, 300, minSize);
+                limit.answered(ms, latencyMs, baselineMs, 300, minSize);
                 answerDueMs = -1;
             }
             if (answerDueMs < 0 && !limit.isFull(ms)) {
