--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -92,7 +92,7 @@
         if (exchange.closed
                 || exchange.isBodyConsumed()
                 || attemptTimeoutMs <= 0
-                || lease.hasLapsed(nowMs)
+                || lease.hasExpired(nowMs)
                 || number >= settings.limits().maxAttempts()) {
             attempt.end(Ending.of(Outcome.NOT_SENT));
             return;
@@ -134,7 +134,7 @@
         return new Transmission(
                 node.ready,
                 exchange.closed,
-                lease.hasLapsed(nowMs),
+                lease.hasExpired(nowMs),
                 budgetMs,
                 exchange.maxClientLeftMs(nowMs),
                 exchange.minClientLeftMs(nowMs),
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -176,7 +176,7 @@
 
     /** Applies the nodes that operators have put into maintenance, by id, with the time of each. */
     void applyMaintenance(Map<String, Double> nodes) {
-        List<Upstream> entries = directory.takeOut(nodes, clock.nowMs());
+        List<Upstream> entries = directory.setOutOfService(nodes, clock.nowMs());
         if (!entries.isEmpty()) {
             events.deliver(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, entries));
         }
--- a/src/main/java/ivybank/discovery/Directory.java
+++ b/src/main/java/ivybank/discovery/Directory.java
@@ -159,7 +159,7 @@
      * Replaces the set of nodes that operators have taken out of service, by host and with the time at which they did. Returns
      * the entries that change, in the form of the decision module. This overrides what discovery says until it is taken back.
      */
-    public List<Upstream> takeOut(Map<String, Double> nodes, double nowMs) {
+    public List<Upstream> setOutOfService(Map<String, Double> nodes, double nowMs) {
         Map<String, Double> before = Map.copyOf(outOfService);
         outOfService.clear();
         outOfService.putAll(nodes);
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -91,8 +91,8 @@
     private Runnable onFirstCallCompleted = () -> {};
     private Tally tally = Tally.NONE;
     private ListLease lease = ListLease.unlimited();
-    /** Whether the log states that the list has lapsed. */
-    private boolean lapseLogged;
+    /** Whether the log states that the lease of the list has expired. */
+    private boolean expiryLogged;
 
     /**
      * Creates a follower of discovery.
@@ -229,14 +229,14 @@
         if (current != null) {
             current.verify();
         }
-        logLapse(lease.hasLapsed(clock.nowMs()));
+        logExpiry(lease.hasExpired(clock.nowMs()));
     }
 
-    private void logLapse(boolean lapsed) {
-        if (lapsed != lapseLogged) {
-            lapseLogged = lapsed;
+    private void logExpiry(boolean expired) {
+        if (expired != expiryLogged) {
+            expiryLogged = expired;
             log.line(
-                    lapsed
+                    expired
                             ? "discovery: this machine may have missed a change; no requests are sent by the list until discovery answers"
                             : "discovery: the list is valid again");
         }
--- a/src/main/java/ivybank/discovery/ListLease.java
+++ b/src/main/java/ivybank/discovery/ListLease.java
@@ -36,7 +36,7 @@
         this.leaseMs = leaseMs;
     }
 
-    /** Returns a lease that never lapses. */
+    /** Returns a lease that never expires. */
     public static ListLease unlimited() {
         return new ListLease(true, Double.POSITIVE_INFINITY);
     }
@@ -134,7 +134,7 @@
     }
 
     /** Returns whether requests may no longer be sent by the list. */
-    public boolean hasLapsed(double nowMs) {
+    public boolean hasExpired(double nowMs) {
         boolean incomplete = asked || localFault || unreadable;
         return nowMs - possiblyMissedSinceMs > leaseMs || incomplete && nowMs - uncoveredSinceMs > leaseMs;
     }
--- a/src/test/java/ivybank/discovery/ListLeaseTest.java
+++ b/src/test/java/ivybank/discovery/ListLeaseTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests when the list lapses, for the possible orders of calls, local failures and silence of discovery. */
+/** Tests when the list expires, for the possible orders of calls, local failures and silence of discovery. */
 class ListLeaseTest {
 
     private static final double GRACE_MS = 500;
@@ -28,10 +28,10 @@
         startWatch(pushed, 0);
         pushed.callEnded(1000, false);
         pushed.requestSent(1050);
-        assertFalse(pushed.hasLapsed(LATER_MS));
+        assertFalse(pushed.hasExpired(LATER_MS));
         pushed.callEnded(1200, false);
         pushed.requestSent(1250);
-        assertFalse(pushed.hasLapsed(LATER_MS), "discovery alone is the reason");
+        assertFalse(pushed.hasExpired(LATER_MS), "discovery alone is the reason");
     }
 
     @Test
@@ -40,10 +40,10 @@
         pushed.callEnded(1000, false);
         pushed.requestSent(1050);
         pushed.readFailed(1060);
-        assertFalse(pushed.hasLapsed(1060 + SOON_MS));
-        assertTrue(pushed.hasLapsed(1060 + GRACE_MS), "a drain may have been reported by now");
+        assertFalse(pushed.hasExpired(1060 + SOON_MS));
+        assertTrue(pushed.hasExpired(1060 + GRACE_MS), "a drain may have been reported by now");
         pushed.readRecovered();
-        assertFalse(pushed.hasLapsed(LATER_MS), "nothing was buffered: discovery is silent");
+        assertFalse(pushed.hasExpired(LATER_MS), "nothing was buffered: discovery is silent");
     }
 
     @Test
@@ -54,10 +54,10 @@
         pushed.readFailed(1060);
         pushed.callEnded(1160, false);
         pushed.requestSent(1200);
-        assertFalse(pushed.hasLapsed(1060 + SOON_MS));
-        assertTrue(pushed.hasLapsed(1060 + GRACE_MS), "requested and silent");
+        assertFalse(pushed.hasExpired(1060 + SOON_MS));
+        assertTrue(pushed.hasExpired(1060 + GRACE_MS), "requested and silent");
         pushed.dataReceived();
-        assertFalse(pushed.hasLapsed(LATER_MS));
+        assertFalse(pushed.hasExpired(LATER_MS));
     }
 
     @Test
@@ -66,14 +66,14 @@
         pushed.callEnded(1000, false);
         pushed.callEnded(1050, true);
         pushed.callEnded(1100, true);
-        assertTrue(pushed.hasLapsed(1000 + GRACE_MS), "no request sent yet");
+        assertTrue(pushed.hasExpired(1000 + GRACE_MS), "no request sent yet");
         pushed.requestSent(1150);
-        assertTrue(pushed.hasLapsed(1000 + GRACE_MS), "requested and silent");
+        assertTrue(pushed.hasExpired(1000 + GRACE_MS), "requested and silent");
         pushed.callEnded(1300, false);
         pushed.requestSent(1350);
-        assertTrue(pushed.hasLapsed(LATER_MS), "requested once more and silent");
+        assertTrue(pushed.hasExpired(LATER_MS), "requested once more and silent");
         pushed.dataReceived();
-        assertFalse(pushed.hasLapsed(LATER_MS));
+        assertFalse(pushed.hasExpired(LATER_MS));
     }
 
     @Test
@@ -82,7 +82,7 @@
         pushed.readFailed(1000);
         pushed.callEnded(1400, false);
         pushed.requestSent(1450);
-        assertTrue(pushed.hasLapsed(1000 + GRACE_MS));
+        assertTrue(pushed.hasExpired(1000 + GRACE_MS));
     }
 
     @Test
@@ -92,7 +92,7 @@
         pushed.dataReceived();
         pushed.callEnded(1400, false);
         pushed.requestSent(1450);
-        assertTrue(pushed.hasLapsed(1000 + GRACE_MS), "the end may have come long ago");
+        assertTrue(pushed.hasExpired(1000 + GRACE_MS), "the end may have come long ago");
     }
 
     @Test
@@ -102,12 +102,12 @@
         pushed.dataReceived();
         pushed.listReceived(1000, true);
         pushed.requestSent(1400);
-        assertTrue(pushed.hasLapsed(1000 + GRACE_MS), "the watch after it is silent");
+        assertTrue(pushed.hasExpired(1000 + GRACE_MS), "the watch after it is silent");
         pushed.dataReceived();
-        assertFalse(pushed.hasLapsed(LATER_MS));
+        assertFalse(pushed.hasExpired(LATER_MS));
         pushed.listReceived(2000, false);
         pushed.requestSent(2100);
-        assertFalse(pushed.hasLapsed(LATER_MS), "that list was read when it was sent");
+        assertFalse(pushed.hasExpired(LATER_MS), "that list was read when it was sent");
     }
 
     @Test
@@ -116,7 +116,7 @@
         pushed.callEnded(1000, false);
         pushed.callEnded(1200, false);
         pushed.requestSent(1250);
-        assertTrue(pushed.hasLapsed(1000 + GRACE_MS));
+        assertTrue(pushed.hasExpired(1000 + GRACE_MS));
     }
 
     @Test
@@ -126,7 +126,7 @@
         pushed.readFailed(1100);
         pushed.requestSent(1300);
         pushed.readRecovered();
-        assertTrue(pushed.hasLapsed(1000 + GRACE_MS), "the socket of the call doesn't hold what was missed before it");
+        assertTrue(pushed.hasExpired(1000 + GRACE_MS), "the socket of the call doesn't hold what was missed before it");
     }
 
     @Test
@@ -134,24 +134,24 @@
         startWatch(polled, 0);
         polled.callEnded(1000, true);
         polled.requestSent(1900);
-        assertFalse(polled.hasLapsed(LATER_MS));
+        assertFalse(polled.hasExpired(LATER_MS));
     }
 
     @Test
     void aProcessThatDidNotCallInTimeSendsNothingBeforeAnAnswer() {
         polled.startAt(1000);
-        assertFalse(polled.hasLapsed(1000 + Timing.FAILURE_REPORT_LIMIT_MS - GRACE_MS));
-        assertTrue(polled.hasLapsed(1000 + Timing.FAILURE_REPORT_LIMIT_MS));
+        assertFalse(polled.hasExpired(1000 + Timing.FAILURE_REPORT_LIMIT_MS - GRACE_MS));
+        assertTrue(polled.hasExpired(1000 + Timing.FAILURE_REPORT_LIMIT_MS));
         polled.requestSent(1000 + Timing.FAILURE_REPORT_LIMIT_MS);
-        assertTrue(polled.hasLapsed(LATER_MS), "requested and silent");
+        assertTrue(polled.hasExpired(LATER_MS), "requested and silent");
         polled.dataReceived();
-        assertFalse(polled.hasLapsed(LATER_MS));
+        assertFalse(polled.hasExpired(LATER_MS));
     }
 
     @Test
     void aProcessThatCalledInTimeUsesTheListOfItsStart() {
         polled.startAt(1000);
         polled.requestSent(1500);
-        assertFalse(polled.hasLapsed(LATER_MS), "discovery has been silent since then");
+        assertFalse(polled.hasExpired(LATER_MS), "discovery has been silent since then");
     }
 }
--- a/src/test/java/ivybank/discovery/OutOfServiceNodesTest.java
+++ b/src/test/java/ivybank/discovery/OutOfServiceNodesTest.java
@@ -37,22 +37,23 @@
         Upstream ready = update(false, "a", Status.READY, 0).get(0);
         assertEquals(
                 List.of(new Upstream(ready.id(), Status.DRAINING, 0, 0, 0, 0, 1)),
-                directory.takeOut(OUT_OF_SERVICE, 1000));
+                directory.setOutOfService(OUT_OF_SERVICE, 1000));
         assertFalse(directory.node(ready.id()).ready);
         assertEquals(Status.DRAINING, update(false, "a", Status.GONE, 0).get(0).status());
         assertEquals(
                 Status.DRAINING, update(false, "a", Status.READY, 3000).get(0).status());
-        assertEquals(List.of(), directory.takeOut(OUT_OF_SERVICE, 4000), "already out of service");
+        assertEquals(List.of(), directory.setOutOfService(OUT_OF_SERVICE, 4000), "already out of service");
         assertEquals(
-                List.of(new Upstream(ready.id(), Status.READY, 3000, 0, 0, 0, 1)), directory.takeOut(Map.of(), 5000));
+                List.of(new Upstream(ready.id(), Status.READY, 3000, 0, 0, 0, 1)),
+                directory.setOutOfService(Map.of(), 5000));
         assertTrue(directory.node(ready.id()).ready);
     }
 
     @Test
     void aNodeThatReturnsBeforeItsRestartIsListedCountsAsJustStarted() {
         update(false, "a", Status.READY, 0);
-        directory.takeOut(OUT_OF_SERVICE, 1000);
-        assertEquals(5000, directory.takeOut(Map.of(), 5000).get(0).startedMs());
+        directory.setOutOfService(OUT_OF_SERVICE, 1000);
+        assertEquals(5000, directory.setOutOfService(Map.of(), 5000).get(0).startedMs());
         assertEquals(5000, update(false, "a", Status.READY, 0).get(0).startedMs(), "the list lags behind");
         assertEquals(
                 5000,
@@ -64,20 +65,21 @@
     @Test
     void aNodeThatTheListHasDroppedIsGoneOnItsReturn() {
         int id = update(false, "a", Status.READY, 0).get(0).id();
-        directory.takeOut(OUT_OF_SERVICE, 1000);
+        directory.setOutOfService(OUT_OF_SERVICE, 1000);
         List<Upstream> applied = update(true, "b", Status.READY, 0);
         assertEquals(
                 List.of(Status.READY, Status.DRAINING),
                 applied.stream().map(Upstream::status).toList());
         assertTrue(directory.contains("a"));
-        assertEquals(Status.GONE, directory.takeOut(Map.of(), 5000).get(0).status());
+        assertEquals(
+                Status.GONE, directory.setOutOfService(Map.of(), 5000).get(0).status());
         assertNull(directory.node(id));
         assertFalse(directory.contains("a"));
     }
 
     @Test
     void aNodeThatIsFirstListedWhileOutOfServiceIsOutOfService() {
-        directory.takeOut(OUT_OF_SERVICE, 1000);
+        directory.setOutOfService(OUT_OF_SERVICE, 1000);
         Upstream listed = update(true, "a", Status.READY, 0).get(0);
         assertEquals(Status.DRAINING, listed.status());
         assertFalse(directory.node(listed.id()).ready);
--- a/src/test/java/ivybank/invariants/InvariantGuardTest.java
+++ b/src/test/java/ivybank/invariants/InvariantGuardTest.java
@@ -17,12 +17,12 @@
     private static Transmission attempt(
             boolean ready,
             boolean over,
-            boolean lapsed,
+            boolean expired,
             double toldMs,
             double leftMs,
             double leastMs,
             RepeatRisk repeat) {
-        return new Transmission(ready, over, lapsed, toldMs, leftMs, leastMs, repeat);
+        return new Transmission(ready, over, expired, toldMs, leftMs, leastMs, repeat);
     }
 
     @Test
