--- a/src/main/java/ivybank/daemon/Config.java
+++ b/src/main/java/ivybank/daemon/Config.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import ivybank.common.Addresses;
 import ivybank.common.Json;
-import ivybank.discovery.HostUpdate;
+import ivybank.discovery.NodeListUpdate;
 import ivybank.discovery.Timing;
 import ivybank.policy.Balancer.Settings;
 import ivybank.settings.SettingsParser;
@@ -32,7 +32,7 @@
         double drainGraceMs,
         List<String> zones,
         List<String> kinds,
-        HostUpdate known,
+        NodeListUpdate known,
         Settings settings,
         String limitsSummary) {
 
@@ -112,7 +112,7 @@
                 number(settings, "/contract/drainGraceMs", Timing.DEFAULT_DRAIN_GRACE_MS),
                 strings(settings.path("failureDomains")),
                 strings(settings.path("kinds")),
-                known.isObject() ? HostUpdate.read(known) : HostUpdate.EMPTY,
+                known.isObject() ? NodeListUpdate.read(known) : NodeListUpdate.EMPTY,
                 SettingsParser.parse(text.toString()),
                 limitsSummary(root.path("limits")));
     }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -5,9 +5,9 @@
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
-import ivybank.discovery.HostUpdate;
 import ivybank.discovery.ListLease;
 import ivybank.discovery.Node;
+import ivybank.discovery.NodeListUpdate;
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
@@ -97,7 +97,7 @@
     }
 
     /** Starts the module with the nodes that were known last. */
-    void start(HostUpdate known) {
+    void start(NodeListUpdate known) {
         events.deliver(() -> balancer.start(clock.nowMs()));
         if (!known.entries().isEmpty()) {
             upstreams(ListKind.CACHED, known);
@@ -125,11 +125,11 @@
     }
 
     /** Applies an update of the list of nodes. */
-    void listUpdated(HostUpdate update) {
+    void listUpdated(NodeListUpdate update) {
         upstreams(update.whole() ? ListKind.FULL : ListKind.DELTA, update);
     }
 
-    private void upstreams(ListKind kind, HostUpdate update) {
+    private void upstreams(ListKind kind, NodeListUpdate update) {
         // The directory comes first: it stops connections that are being opened before the module is notified.
         List<Upstream> entries = directory.apply(update, clock.nowMs());
         listed = true;
--- a/src/main/java/ivybank/daemon/Warmup.java
+++ b/src/main/java/ivybank/daemon/Warmup.java
@@ -20,7 +20,7 @@
 import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
-import ivybank.discovery.HostUpdate;
+import ivybank.discovery.NodeListUpdate;
 import ivybank.policy.Balancer.Effect;
 import ivybank.policy.Balancer.RequestClass;
 import ivybank.policy.Balancer.Settings;
@@ -115,7 +115,7 @@
                 new Directory(List.of(), List.of(), pool::closeIdle),
                 pool,
                 discardingLog);
-        dispatcher.start(new HostUpdate(0, true, List.of(entry("a", upstream), entry("b", upstream))));
+        dispatcher.start(new NodeListUpdate(0, true, List.of(entry("a", upstream), entry("b", upstream))));
         LocalAddress listen = new LocalAddress("warm-up sidecar");
         new ClientServer(
                         settings,
@@ -133,8 +133,8 @@
                 .connect(listen);
     }
 
-    private static HostUpdate.Entry entry(String host, LocalAddress address) {
-        return new HostUpdate.Entry(host, address, Status.READY, 0, "", "", 0, 1);
+    private static NodeListUpdate.Entry entry(String host, LocalAddress address) {
+        return new NodeListUpdate.Entry(host, address, Status.READY, 0, "", "", 0, 1);
     }
 
     private interface Handlers {
--- a/src/main/java/ivybank/discovery/Directory.java
+++ b/src/main/java/ivybank/discovery/Directory.java
@@ -56,15 +56,15 @@
      * final: where another discovery address still lists the same process as ready, that address is behind, and its entry is
      * ignored.
      */
-    public List<Upstream> apply(HostUpdate update, double nowMs) {
+    public List<Upstream> apply(NodeListUpdate update, double nowMs) {
         startTimes.observe(update.entries(), !update.whole(), nowMs);
         Set<Node> listedNodes = new HashSet<>();
         List<Upstream> entries = new ArrayList<>();
-        Collection<HostUpdate.Entry> latest = latestPerHost(update.entries());
-        for (HostUpdate.Entry entry : latest) {
+        Collection<NodeListUpdate.Entry> latest = latestPerHost(update.entries());
+        for (NodeListUpdate.Entry entry : latest) {
             if (update.fromElsewhere()
                     && endedProcessStarts.containsKey(entry.host())
-                    && endedProcessStarts.get(entry.host()) == entry.bornMs()) {
+                    && endedProcessStarts.get(entry.host()) == entry.startedMs()) {
                 continue;
             }
             Node node = byHost.computeIfAbsent(entry.host(), this::add);
@@ -72,17 +72,17 @@
             // Another machine or process: connections to the previous one are unusable, and a request written there
             // ends
             // with a reset after which it may have run.
-            boolean moved = !entry.address().equals(node.address) || entry.bornMs() != node.bornMs;
+            boolean moved = !entry.address().equals(node.address) || entry.startedMs() != node.listedStartMs;
             boolean undrained = update.fromElsewhere()
                     && node.status == Status.DRAINING
-                    && node.bornMs == entry.bornMs()
+                    && node.listedStartMs == entry.startedMs()
                     && entry.status() == Status.READY;
             Status status = undrained ? Status.DRAINING : entry.status();
-            if (first || node.bornMs != entry.bornMs()) {
-                node.processStartedMs = startTimes.startedMs(entry.bornMs(), nowMs);
+            if (first || node.listedStartMs != entry.startedMs()) {
+                node.processStartedMs = startTimes.startedMs(entry.startedMs(), nowMs);
             }
             node.address = entry.address();
-            node.bornMs = entry.bornMs();
+            node.listedStartMs = entry.startedMs();
             node.status = status;
             node.listed = entry;
             entries.add(toUpstream(node));
@@ -90,9 +90,9 @@
                 onRetired.accept(node);
             }
         }
-        for (HostUpdate.Entry entry : latest) {
+        for (NodeListUpdate.Entry entry : latest) {
             if (entry.status() == Status.GONE) {
-                endedProcessStarts.put(entry.host(), entry.bornMs());
+                endedProcessStarts.put(entry.host(), entry.startedMs());
                 remove(byHost.get(entry.host()));
             }
         }
@@ -114,15 +114,15 @@
      * process the more restrictive status. Otherwise a gone and a ready entry replaced each other in turn, and the decision
      * module kept a node that the directory no longer knew.
      */
-    private static Collection<HostUpdate.Entry> latestPerHost(List<HostUpdate.Entry> entries) {
-        Map<String, HostUpdate.Entry> byHost = new LinkedHashMap<>();
+    private static Collection<NodeListUpdate.Entry> latestPerHost(List<NodeListUpdate.Entry> entries) {
+        Map<String, NodeListUpdate.Entry> byHost = new LinkedHashMap<>();
         entries.forEach(entry -> byHost.merge(entry.host(), entry, Directory::prevailing));
         return byHost.values();
     }
 
-    private static HostUpdate.Entry prevailing(HostUpdate.Entry earlier, HostUpdate.Entry later) {
-        if (earlier.bornMs() != later.bornMs()) {
-            return earlier.bornMs() > later.bornMs() ? earlier : later;
+    private static NodeListUpdate.Entry prevailing(NodeListUpdate.Entry earlier, NodeListUpdate.Entry later) {
+        if (earlier.startedMs() != later.startedMs()) {
+            return earlier.startedMs() > later.startedMs() ? earlier : later;
         }
         boolean laterAllowsMore = earlier.status() == Status.GONE
                 || earlier.status() == Status.DRAINING && later.status() == Status.READY;
@@ -133,7 +133,7 @@
      * Returns the entry of a node for the decision module. A node that is out of service is draining, whatever the list says.
      */
     private Upstream toUpstream(Node node) {
-        HostUpdate.Entry entry = node.listed;
+        NodeListUpdate.Entry entry = node.listed;
         Status status = outOfService.containsKey(node.host) ? Status.DRAINING : node.status;
         node.outOfServiceSinceMs = outOfService.getOrDefault(node.host, 0.0);
         node.ready = status == Status.READY;
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -53,7 +53,7 @@
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final Consumer<HostUpdate> listener;
+    private final Consumer<NodeListUpdate> listener;
     private final Timing timing;
     private final DoubleSupplier random;
     private final Clock clock;
@@ -107,7 +107,7 @@
             Supplier<SocketAddress> addressSupplier,
             long from,
             Timing timing,
-            Consumer<HostUpdate> listener,
+            Consumer<NodeListUpdate> listener,
             Clock clock,
             Log log) {
         this(
@@ -132,7 +132,7 @@
             long from,
             Timing timing,
             DoubleSupplier random,
-            Consumer<HostUpdate> listener,
+            Consumer<NodeListUpdate> listener,
             Clock clock,
             Log log) {
         this.knownVersion = from;
@@ -486,7 +486,7 @@
     }
 
     @Override
-    public void updateReceived(DiscoveryCall call, HostUpdate update, long version) throws IOException {
+    public void updateReceived(DiscoveryCall call, NodeListUpdate update, long version) throws IOException {
         if (call == current && unconfirmed) {
             unconfirmed = false;
             if (!update.whole() && update.seq() < version) {
@@ -505,7 +505,7 @@
     }
 
     @Override
-    public void applyUpdate(DiscoveryCall call, HostUpdate update, boolean outdated) {
+    public void applyUpdate(DiscoveryCall call, NodeListUpdate update, boolean outdated) {
         boolean moved = call.firstSinceMove;
         call.firstSinceMove = false;
         tally.listUpdated(update.seq());
--- a/src/main/java/ivybank/discovery/DiscoveryCall.java
+++ b/src/main/java/ivybank/discovery/DiscoveryCall.java
@@ -71,10 +71,10 @@
          * @param version up to which this call has reported all changes, or -1
          * @throws IOException if it shows that the call cannot resume from the known version
          */
-        void updateReceived(DiscoveryCall call, HostUpdate update, long version) throws IOException;
+        void updateReceived(DiscoveryCall call, NodeListUpdate update, long version) throws IOException;
 
         /** A new update has arrived; {@code outdated}: it is older than what this address has reported before. */
-        void applyUpdate(DiscoveryCall call, HostUpdate update, boolean outdated);
+        void applyUpdate(DiscoveryCall call, NodeListUpdate update, boolean outdated);
 
         /** The call is about to end for this reason. */
         void callFailed(DiscoveryCall call, String why);
@@ -347,9 +347,9 @@
     }
 
     private void read(JsonNode json) throws IOException {
-        HostUpdate update;
+        NodeListUpdate update;
         try {
-            update = HostUpdate.read(json);
+            update = NodeListUpdate.read(json);
         } catch (IllegalArgumentException e) {
             throw malformed("the update after version " + version, e);
         }
--- a/src/main/java/ivybank/discovery/Node.java
+++ b/src/main/java/ivybank/discovery/Node.java
@@ -15,11 +15,11 @@
     /** The last status from discovery; {@code GONE} where a whole list left the node out. */
     Status status;
     /** The start of its process as discovery last stated it, in Unix milliseconds; 0 for long ago. */
-    double bornMs;
+    double listedStartMs;
     /** The start of its process by the clock of this process. */
     double processStartedMs;
     /** The last entry from discovery. */
-    HostUpdate.Entry listed;
+    NodeListUpdate.Entry listed;
     /** The time since which operators have it out of service, or 0. */
     double outOfServiceSinceMs;
 
@@ -42,7 +42,7 @@
      * Returns the difference between its start by the clock of this process and as discovery states it, in milliseconds.
      */
     double clockCorrectionMs() {
-        return bornMs <= 0 ? 0 : processStartedMs - bornMs;
+        return listedStartMs <= 0 ? 0 : processStartedMs - listedStartMs;
     }
 
     /** Returns the zone in which it is listed; empty where it is not known. */
--- a/src/main/java/ivybank/discovery/HostUpdate.java
+++ b/src/main/java/ivybank/discovery/NodeListUpdate.java
@@ -11,17 +11,17 @@
  * An update of the list of nodes from discovery: the whole list, or the entries that changed up to version {@code seq}.
  * {@code fromElsewhere}: it may be older than what is already known, as the first update from another address may be.
  */
-public record HostUpdate(long seq, boolean whole, boolean fromElsewhere, List<Entry> entries) {
+public record NodeListUpdate(long seq, boolean whole, boolean fromElsewhere, List<Entry> entries) {
 
     /** The list where nothing is known. */
-    public static final HostUpdate EMPTY = new HostUpdate(0, true, List.of());
+    public static final NodeListUpdate EMPTY = new NodeListUpdate(0, true, List.of());
 
-    public HostUpdate(long seq, boolean whole, List<Entry> entries) {
+    public NodeListUpdate(long seq, boolean whole, List<Entry> entries) {
         this(seq, whole, false, entries);
     }
 
-    HostUpdate asFromElsewhere() {
-        return new HostUpdate(seq, whole, true, entries);
+    NodeListUpdate asFromElsewhere() {
+        return new NodeListUpdate(seq, whole, true, entries);
     }
 
     /**
@@ -34,29 +34,29 @@
         return asked && whole && !entries.isEmpty() && seq >= 0 ? seq : -1;
     }
 
-    /** One node; a {@code bornMs} of 0 means that it started long ago. */
+    /** One node. {@code startedMs} is the start of its process in Unix milliseconds; 0 means long ago. */
     public record Entry(
             String host,
             SocketAddress address,
             Status status,
-            double bornMs,
+            double startedMs,
             String zone,
             String kind,
             int cell,
             double weight) {}
 
-    public HostUpdate {
+    public NodeListUpdate {
         entries = List.copyOf(entries);
     }
 
     /** Parses an update from discovery. Unknown fields are ignored; a malformed update is rejected as a whole. */
-    public static HostUpdate read(JsonNode root) {
+    public static NodeListUpdate read(JsonNode root) {
         if (!root.path("seq").canConvertToLong() || !root.path("hosts").isArray()) {
             throw new IllegalArgumentException("a list of upstreams needs seq and hosts");
         }
         List<Entry> entries = new ArrayList<>();
         root.get("hosts").forEach(host -> entries.add(entry(host)));
-        return new HostUpdate(root.get("seq").asLong(), root.path("whole").asBoolean(false), entries);
+        return new NodeListUpdate(root.get("seq").asLong(), root.path("whole").asBoolean(false), entries);
     }
 
     private static Entry entry(JsonNode node) {
--- a/src/main/java/ivybank/discovery/StartTimes.java
+++ b/src/main/java/ivybank/discovery/StartTimes.java
@@ -32,10 +32,10 @@
      *
      * @param change whether they were reported as a change rather than as part of the whole list
      */
-    void observe(Collection<HostUpdate.Entry> entries, boolean change, double nowMs) {
+    void observe(Collection<NodeListUpdate.Entry> entries, boolean change, double nowMs) {
         double newestMs = entries.stream()
-                .filter(entry -> entry.status() == Status.READY && entry.bornMs() > 0)
-                .mapToDouble(HostUpdate.Entry::bornMs)
+                .filter(entry -> entry.status() == Status.READY && entry.startedMs() > 0)
+                .mapToDouble(NodeListUpdate.Entry::startedMs)
                 .max()
                 .orElse(Double.NEGATIVE_INFINITY);
         if (nowMs - newestMs >= minAgeMs) {
@@ -51,9 +51,9 @@
      * Returns whether the nodes that may have just started, if the local clock is ahead, are a minority. Then treating them as
      * just started costs little. Where all nodes started together long ago, the local clock is trusted.
      */
-    private static boolean isMinorityNew(Collection<HostUpdate.Entry> entries, double newestMs) {
+    private static boolean isMinorityNew(Collection<NodeListUpdate.Entry> entries, double newestMs) {
         long newest = entries.stream()
-                .filter(entry -> entry.bornMs() > newestMs - SAME_WAVE_MS)
+                .filter(entry -> entry.startedMs() > newestMs - SAME_WAVE_MS)
                 .count();
         return 2 * newest <= entries.size();
     }
@@ -61,7 +61,7 @@
     /**
      * Returns the start of a node that is reported now, by the clock of this process and never later than now; 0 for long ago.
      */
-    double startedMs(double bornMs, double nowMs) {
-        return bornMs <= 0 ? 0 : Math.min(nowMs, bornMs + correctionMs);
+    double startedMs(double listedStartMs, double nowMs) {
+        return listedStartMs <= 0 ? 0 : Math.min(nowMs, listedStartMs + correctionMs);
     }
 }
--- a/src/main/java/ivybank/scale/worker/HollowSidecar.java
+++ b/src/main/java/ivybank/scale/worker/HollowSidecar.java
@@ -8,7 +8,7 @@
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
 import ivybank.discovery.Discovery;
-import ivybank.discovery.HostUpdate;
+import ivybank.discovery.NodeListUpdate;
 import ivybank.discovery.Timing;
 import ivybank.policy.Balancer.ListKind;
 import ivybank.policy.LoadShiftingBalancer;
@@ -68,7 +68,7 @@
         tally.endSecond(clock.nowMs(), 0);
     }
 
-    private void update(HostUpdate update) {
+    private void update(NodeListUpdate update) {
         ListKind kind = update.whole() ? ListKind.FULL : ListKind.DELTA;
         balancer.upstreams(clock.nowMs(), kind, directory.apply(update, clock.nowMs()));
         double nowMs = MonotonicTime.nowMs();
@@ -76,7 +76,7 @@
         versionSinceMs = nowMs;
         if (!update.whole()) {
             update.entries().stream()
-                    .mapToDouble(HostUpdate.Entry::bornMs)
+                    .mapToDouble(NodeListUpdate.Entry::startedMs)
                     .max()
                     .ifPresent(publishedMs -> delays.add(nowMs - publishedMs));
         }
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -15,7 +15,7 @@
 import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
-import ivybank.discovery.HostUpdate;
+import ivybank.discovery.NodeListUpdate;
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.SendRecord;
@@ -94,8 +94,10 @@
                     directory,
                     pool,
                     log);
-            dispatcher.start(new HostUpdate(
-                    1, true, List.of(new HostUpdate.Entry("s-1", node.address(), Status.READY, 0, "a", "k", 0, 1))));
+            dispatcher.start(new NodeListUpdate(
+                    1,
+                    true,
+                    List.of(new NodeListUpdate.Entry("s-1", node.address(), Status.READY, 0, "a", "k", 0, 1))));
             return null;
         });
     }
--- a/src/test/java/ivybank/discovery/DirectoryTest.java
+++ b/src/test/java/ivybank/discovery/DirectoryTest.java
@@ -24,10 +24,10 @@
     private int apply(boolean whole, String host, Status status) {
         return directory
                 .apply(
-                        new HostUpdate(
+                        new NodeListUpdate(
                                 1,
                                 whole,
-                                List.of(new HostUpdate.Entry(
+                                List.of(new NodeListUpdate.Entry(
                                         host, new InetSocketAddress("127.0.0.1", 7070), status, 0, "a", "k", 0, 1))),
                         NOW_MS)
                 .get(0)
@@ -60,8 +60,9 @@
                 List.of(node), retired.stream().filter(each -> each == node).toList());
     }
 
-    private static HostUpdate.Entry entry(String host, Status status, double bornMs) {
-        return new HostUpdate.Entry(host, new InetSocketAddress("127.0.0.1", 7070), status, bornMs, "a", "k", 0, 1);
+    private static NodeListUpdate.Entry entry(String host, Status status, double startedMs) {
+        return new NodeListUpdate.Entry(
+                host, new InetSocketAddress("127.0.0.1", 7070), status, startedMs, "a", "k", 0, 1);
     }
 
     /**
@@ -71,24 +72,24 @@
     @Test
     void forAHostNamedTwiceTheLatestProcessPrevailsAndThenTheMostRestrictiveStatus() {
         for (boolean whole : new boolean[] {false, true}) {
-            for (List<HostUpdate.Entry> twice : List.of(
+            for (List<NodeListUpdate.Entry> twice : List.of(
                     List.of(entry("s-1", Status.DRAINING, 0), entry("s-1", Status.READY, 0)),
                     List.of(entry("s-1", Status.READY, 0), entry("s-1", Status.DRAINING, 0)),
                     List.of(entry("s-1", Status.DRAINING, 7), entry("s-1", Status.READY, 5)))) {
-                List<Balancer.Upstream> applied = directory.apply(new HostUpdate(1, whole, twice), NOW_MS);
+                List<Balancer.Upstream> applied = directory.apply(new NodeListUpdate(1, whole, twice), NOW_MS);
                 assertEquals(1, applied.size());
                 assertEquals(Status.DRAINING, applied.get(0).status(), twice.toString());
                 assertFalse(directory.node(applied.get(0).id()).ready);
             }
-            for (List<HostUpdate.Entry> twice : List.of(
+            for (List<NodeListUpdate.Entry> twice : List.of(
                     List.of(entry("s-1", Status.GONE, 0), entry("s-1", Status.READY, 9)),
                     List.of(entry("s-1", Status.READY, 9), entry("s-1", Status.GONE, 0)))) {
-                List<Balancer.Upstream> applied = directory.apply(new HostUpdate(2, whole, twice), NOW_MS);
+                List<Balancer.Upstream> applied = directory.apply(new NodeListUpdate(2, whole, twice), NOW_MS);
                 assertEquals(Status.READY, applied.get(0).status(), twice.toString());
                 assertTrue(directory.node(applied.get(0).id()).ready, "the decision module and the directory agree");
             }
             List<Balancer.Upstream> gone = directory.apply(
-                    new HostUpdate(3, whole, List.of(entry("s-1", Status.GONE, 9), entry("s-1", Status.READY, 9))),
+                    new NodeListUpdate(3, whole, List.of(entry("s-1", Status.GONE, 9), entry("s-1", Status.READY, 9))),
                     NOW_MS);
             assertEquals(Status.GONE, gone.get(0).status());
             assertNull(directory.node(gone.get(0).id()));
@@ -98,11 +99,11 @@
     /** A request written to a process that has ended fails with a reset, after which it may have run. */
     @Test
     void connectionsToThePreviousProcessAreRetiredWhenANodeRestartsUnderItsNameAndAddress() {
-        directory.apply(new HostUpdate(1, true, List.of(entry("s-1", Status.READY, 5))), NOW_MS);
+        directory.apply(new NodeListUpdate(1, true, List.of(entry("s-1", Status.READY, 5))), NOW_MS);
         retired.clear();
-        directory.apply(new HostUpdate(2, false, List.of(entry("s-1", Status.READY, 5))), NOW_MS);
+        directory.apply(new NodeListUpdate(2, false, List.of(entry("s-1", Status.READY, 5))), NOW_MS);
         assertTrue(retired.isEmpty(), "the process is the same");
-        directory.apply(new HostUpdate(3, false, List.of(entry("s-1", Status.READY, 9))), NOW_MS);
+        directory.apply(new NodeListUpdate(3, false, List.of(entry("s-1", Status.READY, 9))), NOW_MS);
         assertEquals(1, retired.size());
     }
 }
--- a/src/test/java/ivybank/discovery/DiscoveryTest.java
+++ b/src/test/java/ivybank/discovery/DiscoveryTest.java
@@ -28,11 +28,11 @@
     private static final String NO_CHANGES = "{\"seq\":%d,\"whole\":false,\"hosts\":[]}\n";
     private static final String LIST =
             "{\"seq\":%d,\"whole\":true,\"hosts\":[{\"host\":\"b\",\"dial\":\"127.0.0.1:1\",\"health\":\"Ready\"}]}\n";
-    private static final HostUpdate KNOWN =
-            new HostUpdate(41, true, List.of(new HostUpdate.Entry("a", null, Status.READY, 0, "", "", 0, 1)));
+    private static final NodeListUpdate KNOWN =
+            new NodeListUpdate(41, true, List.of(new NodeListUpdate.Entry("a", null, Status.READY, 0, "", "", 0, 1)));
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final BlockingQueue<HostUpdate> received = new LinkedBlockingQueue<>();
+    private final BlockingQueue<NodeListUpdate> received = new LinkedBlockingQueue<>();
     private FakeServer server;
 
     @AfterEach
@@ -85,7 +85,7 @@
             connection.read();
         });
         follow(41);
-        HostUpdate update = received.poll(5, TimeUnit.SECONDS);
+        NodeListUpdate update = received.poll(5, TimeUnit.SECONDS);
         assertTrue(update.whole());
         assertEquals(7, update.seq());
     }
@@ -112,11 +112,11 @@
     void withoutAKnownListOrASharedServiceTheWholeListIsRequestedFirst() throws Exception {
         assertEquals(41, KNOWN.resumeFrom(true));
         assertEquals(-1, KNOWN.resumeFrom(false));
-        assertEquals(-1, HostUpdate.EMPTY.resumeFrom(true));
+        assertEquals(-1, NodeListUpdate.EMPTY.resumeFrom(true));
         assertEquals(
-                -1, new HostUpdate(41, false, KNOWN.entries()).resumeFrom(true), "a partial list can't be resumed");
+                -1, new NodeListUpdate(41, false, KNOWN.entries()).resumeFrom(true), "a partial list can't be resumed");
         server = new FakeServer(connection -> connection.read());
-        follow(HostUpdate.EMPTY.resumeFrom(true));
+        follow(NodeListUpdate.EMPTY.resumeFrom(true));
         assertTrue(server.nextRequest().startsWith("GET /registry/instances HTTP/1.1"));
     }
 }
--- a/src/test/java/ivybank/discovery/DiscoveryTimesTest.java
+++ b/src/test/java/ivybank/discovery/DiscoveryTimesTest.java
@@ -31,7 +31,7 @@
             "{\"seq\":%d,\"whole\":true,\"hosts\":[{\"host\":\"b\",\"dial\":\"127.0.0.1:1\",\"health\":\"%s\"}]}";
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final List<HostUpdate> received = new ArrayList<>();
+    private final List<NodeListUpdate> received = new ArrayList<>();
     private final List<String> requests = new ArrayList<>();
     private double receivedMs = Double.NaN;
     private int seq = 7;
@@ -374,7 +374,7 @@
         agent.settle();
         watch.piece("oops");
         agent.advance(60); // the list on the new call is still that of version 7
-        HostUpdate older = received.get(received.size() - 1);
+        NodeListUpdate older = received.get(received.size() - 1);
         assertEquals(7, older.seq());
         assertTrue(older.fromElsewhere(), "it must not undo a drain of the same process");
         SetClockAgent.Call second = agent.calls.get(1);
--- a/src/test/java/ivybank/discovery/OutOfServiceNodesTest.java
+++ b/src/test/java/ivybank/discovery/OutOfServiceNodesTest.java
@@ -22,13 +22,13 @@
 
     private final Directory directory = new Directory(List.of("z"), List.of("k"), node -> {});
 
-    private List<Upstream> update(boolean whole, String host, Status status, double bornMs) {
+    private List<Upstream> update(boolean whole, String host, Status status, double startedMs) {
         return directory.apply(
-                new HostUpdate(
+                new NodeListUpdate(
                         1,
                         whole,
-                        List.of(new HostUpdate.Entry(
-                                host, new InetSocketAddress("127.0.0.1", 7070), status, bornMs, "z", "k", 0, 1))),
+                        List.of(new NodeListUpdate.Entry(
+                                host, new InetSocketAddress("127.0.0.1", 7070), status, startedMs, "z", "k", 0, 1))),
                 NOW_MS);
     }
 
--- a/src/test/java/ivybank/discovery/StartTimesTest.java
+++ b/src/test/java/ivybank/discovery/StartTimesTest.java
@@ -20,14 +20,14 @@
 
     private final StartTimes times = new StartTimes();
 
-    private static HostUpdate.Entry entry(double ageMs) {
-        double bornMs = ageMs < 0 ? 0 : TRUE_NOW_MS - ageMs;
-        return new HostUpdate.Entry(
-                "s", new InetSocketAddress("127.0.0.1", 7070), Status.READY, bornMs, "a", "k", 0, 1);
+    private static NodeListUpdate.Entry entry(double ageMs) {
+        double startedMs = ageMs < 0 ? 0 : TRUE_NOW_MS - ageMs;
+        return new NodeListUpdate.Entry(
+                "s", new InetSocketAddress("127.0.0.1", 7070), Status.READY, startedMs, "a", "k", 0, 1);
     }
 
-    private static List<HostUpdate.Entry> entries(double... agesMs) {
-        List<HostUpdate.Entry> entries = new ArrayList<>();
+    private static List<NodeListUpdate.Entry> entries(double... agesMs) {
+        List<NodeListUpdate.Entry> entries = new ArrayList<>();
         for (double ageMs : agesMs) {
             entries.add(entry(ageMs));
         }
