--- a/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
+++ b/src/main/java/ivybank/concurrency/ConcurrencyLimit.java
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Records a failure and holds its slot for as long as an answer of median latency would. Otherwise a node that fails at once appears
-     * to have the most free capacity of all.
+     * Records a failure and holds its slot for as long as an answer of median latency would. Otherwise a node that fails at once
+     * appears to have the most free capacity of all.
      */
     public void failed(double nowMs, double elapsedMs, double medianMs) {
         double earlyMs = Math.max(0, medianMs - elapsedMs) / Math.max(1, size);
--- a/src/main/java/ivybank/concurrency/LatencyTracker.java
+++ b/src/main/java/ivybank/concurrency/LatencyTracker.java
@@ -3,7 +3,7 @@
 import ivybank.handover.Confidence;
 import ivybank.handover.LearnedState;
 
-/** Tracks the running median latency of similar requests, and a baseline, its value while the nodes are quiet; in milliseconds. */
+/** Tracks the running median latency of similar requests, and a baseline: its value while the nodes are quiet. */
 public class LatencyTracker {
 
     private double medianMs;
--- a/src/main/java/ivybank/handover/LearnedState.java
+++ b/src/main/java/ivybank/handover/LearnedState.java
@@ -26,8 +26,8 @@
         Map<Integer, Double> maxRateByKind) {
 
     /**
-     * The state of a request class: the running median of its latencies, the baseline, which is that median while the nodes are quiet (0: unknown), and the number
-     * of answers that it is based on.
+     * The state of a request class: the running median of its latencies, the baseline, which is that median while the nodes are
+     * quiet (0: unknown), and the number of answers that it is based on.
      */
     public record ClassState(double medianMs, double baselineMs, int answers) {}
 
