--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -110,7 +110,7 @@
 
             @Override
             public double maxBudgetMs() {
-                return exchange.minClientLeftMs(clock.nowMs()) + MAX_FORWARDED_BUDGET_EXCESS_MS;
+                return exchange.minClientRemainingMs(clock.nowMs()) + MAX_FORWARDED_BUDGET_EXCESS_MS;
             }
 
             @Override
@@ -136,8 +136,8 @@
                 exchange.closed,
                 lease.hasExpired(nowMs),
                 budgetMs,
-                exchange.maxClientLeftMs(nowMs),
-                exchange.minClientLeftMs(nowMs),
+                exchange.maxClientRemainingMs(nowMs),
+                exchange.minClientRemainingMs(nowMs),
                 RepeatRisk.of(
                         settings.classes().get(exchange.request.requestClass()),
                         others,
--- a/src/main/java/ivybank/daemon/DescriptorShares.java
+++ b/src/main/java/ivybank/daemon/DescriptorShares.java
@@ -23,7 +23,7 @@
      * The fraction of all descriptors up to which no client connection is closed early. The client may use a third for
      * requests and must not run out of connections.
      */
-    private static final double UNEVICTED_FRACTION = 0.31;
+    private static final double EVICTION_THRESHOLD_FRACTION = 0.31;
 
     private static final int REQUEST_DIVISOR = 3;
     /** The fraction of the accepted client connections that only receive a refusal. */
@@ -36,13 +36,13 @@
      */
     static DescriptorShares of(int descriptors) {
         int total = Math.max(2, descriptors - RESERVED);
-        int accepted = Math.max(1, (int) (total * CLIENT_FRACTION));
-        int served = accepted - Math.max(1, (int) (accepted * REFUSED_FRACTION));
-        int unevicted = Math.min(served, (int) (descriptors * UNEVICTED_FRACTION));
-        int forRequests = Math.max(2, descriptors / REQUEST_DIVISOR);
+        int maxAccepted = Math.max(1, (int) (total * CLIENT_FRACTION));
+        int maxServed = maxAccepted - Math.max(1, (int) (maxAccepted * REFUSED_FRACTION));
+        int evictionThreshold = Math.min(maxServed, (int) (descriptors * EVICTION_THRESHOLD_FRACTION));
+        int requestConnections = Math.max(2, descriptors / REQUEST_DIVISOR);
         return new DescriptorShares(
                 total,
                 Math.max(1, (int) (total * UPSTREAM_FRACTION)),
-                new ClientServer.Limits(unevicted, served, accepted, forRequests));
+                new ClientServer.Limits(evictionThreshold, maxServed, maxAccepted, requestConnections));
     }
 }
--- a/src/main/java/ivybank/daemon/Exchange.java
+++ b/src/main/java/ivybank/daemon/Exchange.java
@@ -73,15 +73,15 @@
     }
 
     /** Returns the maximum time that the client has left; its whole budget while the last byte has not arrived. */
-    double maxClientLeftMs(double nowMs) {
+    double maxClientRemainingMs(double nowMs) {
         return isArriving() ? request.budgetMs() : deadlineMs - nowMs;
     }
 
     /** Returns the minimum time that the client has left: a request may have arrived before it was read. */
-    double minClientLeftMs(double nowMs) {
+    double minClientRemainingMs(double nowMs) {
         double byArrivalMs =
                 request.remainingBody() == null ? earliestArrivalMs + request.budgetMs() - nowMs : Double.MAX_VALUE;
-        return Math.min(byArrivalMs, maxClientLeftMs(nowMs));
+        return Math.min(byArrivalMs, maxClientRemainingMs(nowMs));
     }
 
     void cancelBackstop() {
--- a/src/main/java/ivybank/daemon/Sidecar.java
+++ b/src/main/java/ivybank/daemon/Sidecar.java
@@ -473,7 +473,7 @@
         dispatcher.enforce(lease, guard);
         watchdog.watch(discovery);
         watchdog.watch(configReload);
-        pool.chains().forEach(watchdog::watch);
+        pool.tasks().forEach(watchdog::watch);
         pool.setStallDetector(beforeSends);
         dispatcher.setStallDetectors(ofRequests, beforeSends);
         watchForStalls(beforeSends);
--- a/src/main/java/ivybank/supervision/SupervisedTask.java
+++ b/src/main/java/ivybank/supervision/SupervisedTask.java
@@ -1,7 +1,7 @@
 package ivybank.supervision;
 
 /**
- * A chain of steps that must continue as long as the process serves: each step triggers the next. The owner states the
+ * A task that must continue as long as the process serves: each of its steps triggers the next. The owner states the
  * current state and the time by which it must have ended. Times are in milliseconds of the process's monotonic clock. Used
  * on the owner's event loop alone.
  */
--- a/src/main/java/ivybank/supervision/package-info.java
+++ b/src/main/java/ivybank/supervision/package-info.java
@@ -1,2 +1,2 @@
-/** Keeps periodic and chained tasks running after a failed step, and reports the end of each outbound connection. */
+/** Keeps tasks whose steps trigger one another running after a failed step, and reports the end of each outbound connection. */
 package ivybank.supervision;
--- a/src/main/java/ivybank/upstream/UpstreamPool.java
+++ b/src/main/java/ivybank/upstream/UpstreamPool.java
@@ -111,7 +111,7 @@
     }
 
     /** Returns the periodic tasks that close idle connections, find lost ones, and check those without events. */
-    public List<SupervisedTask> chains() {
+    public List<SupervisedTask> tasks() {
         return List.of(sweep, verification);
     }
 
--- a/src/test/java/ivybank/invariants/InvariantGuardTest.java
+++ b/src/test/java/ivybank/invariants/InvariantGuardTest.java
@@ -15,14 +15,21 @@
     private final InvariantGuard guard = new InvariantGuard(lines::add);
 
     private static Transmission attempt(
-            boolean ready,
-            boolean over,
-            boolean expired,
-            double toldMs,
-            double leftMs,
-            double leastMs,
-            RepeatRisk repeat) {
-        return new Transmission(ready, over, expired, toldMs, leftMs, leastMs, repeat);
+            boolean nodeReady,
+            boolean requestCompleted,
+            boolean listExpired,
+            double nodeBudgetMs,
+            double maxClientRemainingMs,
+            double minClientRemainingMs,
+            RepeatRisk repeatRisk) {
+        return new Transmission(
+                nodeReady,
+                requestCompleted,
+                listExpired,
+                nodeBudgetMs,
+                maxClientRemainingMs,
+                minClientRemainingMs,
+                repeatRisk);
     }
 
     @Test
