--- a/src/test/java/ivybank/daemon/PromiseKeeperTest.java
+++ b/src/test/java/ivybank/daemon/PromiseRecoveryTest.java
@@ -32,7 +32,7 @@
 
 /** Tests the promises of a sidecar on sockets, across restarts. */
 @Timeout(60)
-class PromiseKeeperTest {
+class PromiseRecoveryTest {
 
     private record Response(int status, String body) {}
 
