--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -29,8 +29,9 @@
  * one address say nothing about another, and the old one is followed until the new one has answered. After each call,
  * {@code addressSupplier} is asked for the current address, which finds a move that nobody has announced.
  *
- * <p>This class is the task that makes the calls, one after another. There is always a call under way or a pause before the next one, each with a time by
- * which it must have ended, and a {@link ivybank.supervision.Watchdog} starts the next one where it has not.
+ * <p>This class is the task that makes the calls, one after another. There is always a call under way or a pause before the
+ * next one, each with a time by which it must have ended, and a {@link ivybank.supervision.Watchdog} starts the next one
+ * where it has not.
  */
 public final class Discovery implements SupervisedTask, DiscoveryCall.Owner {
 
