--- a/src/main/java/ivybank/cli/StoreCommand.java
+++ b/src/main/java/ivybank/cli/StoreCommand.java
@@ -104,9 +104,8 @@
         try (Disk disk = open(folder)) {
             StoreIdentity identity = StoreIdentity.readIfPresent(disk);
             return identity == null
-                    ? "it has no owner, as a store of an earlier version"
-                    : "owner " + identity.owner() + ", id " + identity.id() + ", opened " + identity.incarnation()
-                            + " times";
+                    ? "no identity file, as in stores of earlier versions"
+                    : "owner " + identity.owner() + ", id " + identity.id() + ", incarnation " + identity.incarnation();
         } catch (StoreException e) {
             return e.getMessage();
         }
--- a/src/main/java/ivybank/daemon/PromiseStartup.java
+++ b/src/main/java/ivybank/daemon/PromiseStartup.java
@@ -39,8 +39,7 @@
                     store.firstStart(),
                     () -> UUID.randomUUID().toString(),
                     line -> log.line("store " + store.folder() + ": " + line));
-            log.line("store " + store.folder() + ": id " + identity.id() + ", opened for the " + identity.incarnation()
-                    + ". time");
+            log.line("store " + store.folder() + ": id " + identity.id() + ", incarnation " + identity.incarnation());
         } catch (IOException | RuntimeException e) {
             disk.close();
             throw e;
--- a/src/main/java/ivybank/upstream/ResponseDecoder.java
+++ b/src/main/java/ivybank/upstream/ResponseDecoder.java
@@ -15,7 +15,7 @@
     /** Rejects a response whose end is ambiguous: Netty would drop the length and go on. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("the response has both a Content-Length and a Transfer-Encoding");
+        throw new IllegalArgumentException("response has both Content-Length and Transfer-Encoding");
     }
 
     /** Rejects a header line without a colon, which Netty would accept as a field without a value. */
