--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -16,6 +16,7 @@
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
 import ivybank.discovery.NodeListUpdate;
+import ivybank.discovery.NodeListUpdate.Entry;
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.SendRecord;
@@ -95,9 +96,7 @@
                     pool,
                     log);
             dispatcher.start(new NodeListUpdate(
-                    1,
-                    true,
-                    List.of(new NodeListUpdate.Entry("s-1", node.address(), Status.READY, 0, "a", "k", 0, 1))));
+                    1, true, List.of(new Entry("s-1", node.address(), Status.READY, 0, "a", "k", 0, 1))));
             return null;
         });
     }
