--- a/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -62,7 +62,7 @@
         out.putDouble(snapshot.writtenMs())
                 .putInt(snapshot.unansweredRequests())
                 .putInt(snapshot.descriptors());
-        out.putDouble(learned.admittedShare()).putDouble(learned.extraAttempts());
+        out.putDouble(learned.admittedFraction()).putDouble(learned.retryBudget());
         out.putInt(learned.classes().size());
         learned.classes()
                 .forEach(state -> out.putDouble(state.medianMs())
@@ -116,8 +116,8 @@
         double writtenMs = in.getDouble();
         int unansweredRequests = in.getInt();
         int descriptors = in.getInt();
-        double admittedShare = in.getDouble();
-        double extraAttempts = in.getDouble();
+        double admittedFraction = in.getDouble();
+        double retryBudget = in.getDouble();
         List<LearnedState.ClassState> classes = new ArrayList<>();
         for (int left = in.getInt(); left > 0; left--) {
             classes.add(new LearnedState.ClassState(in.getDouble(), in.getDouble(), in.getInt()));
@@ -139,7 +139,7 @@
                 writtenMs,
                 unansweredRequests,
                 descriptors,
-                new LearnedState<>(admittedShare, extraAttempts, classes, nodes, maxRateByKind));
+                new LearnedState<>(admittedFraction, retryBudget, classes, nodes, maxRateByKind));
     }
 
     private static long checksum(byte[] bytes, int length) {
--- a/src/main/java/ivybank/handover/LearnedState.java
+++ b/src/main/java/ivybank/handover/LearnedState.java
@@ -12,15 +12,15 @@
  *
  * @param <K> the type of a node's key: the number in the decision module within a process, the id from discovery between
  *     processes
- * @param admittedShare the share of the offered requests that is admitted
- * @param extraAttempts the number of additional attempts that may still be made
+ * @param admittedFraction the fraction of the offered requests that is admitted
+ * @param retryBudget the number of retries and hedges that may still be sent
  * @param classes the state of the request classes, in the order of the settings
  * @param nodes the state of the nodes by key
  * @param maxRateByKind the highest rate that a warm node was observed to carry, by kind
  */
 public record LearnedState<K>(
-        double admittedShare,
-        double extraAttempts,
+        double admittedFraction,
+        double retryBudget,
         List<ClassState> classes,
         Map<K, NodeState> nodes,
         Map<Integer, Double> maxRateByKind) {
@@ -62,7 +62,7 @@
         classes = List.copyOf(classes);
         nodes = Map.copyOf(nodes);
         maxRateByKind = Map.copyOf(maxRateByKind);
-        if (!(admittedShare > 0 && admittedShare <= 1) || !(extraAttempts >= 0)) {
+        if (!(admittedFraction > 0 && admittedFraction <= 1) || !(retryBudget >= 0)) {
             throw new IllegalArgumentException("invalid state of a sidecar");
         }
         for (ClassState state : classes) {
@@ -77,7 +77,7 @@
 
     /** Returns this state without the request classes and the rates. */
     public LearnedState<K> nodesOnly() {
-        return new LearnedState<>(admittedShare, extraAttempts, List.of(), nodes, Map.of());
+        return new LearnedState<>(admittedFraction, retryBudget, List.of(), nodes, Map.of());
     }
 
     /** Returns this state with other starts of the nodes, computed from their keys and the current starts. */
@@ -92,7 +92,7 @@
                         node.window,
                         node.inFlight,
                         node.aside)));
-        return new LearnedState<>(admittedShare, extraAttempts, classes, changed, maxRateByKind);
+        return new LearnedState<>(admittedFraction, retryBudget, classes, changed, maxRateByKind);
     }
 
     /** Returns this state with other keys of the nodes; nodes without a new key are left out. */
@@ -104,6 +104,6 @@
                 renamed.put(renamedKey, node);
             }
         });
-        return new LearnedState<>(admittedShare, extraAttempts, classes, renamed, maxRateByKind);
+        return new LearnedState<>(admittedFraction, retryBudget, classes, renamed, maxRateByKind);
     }
 }
--- a/src/main/java/ivybank/policy/LoadShiftingBalancer.java
+++ b/src/main/java/ivybank/policy/LoadShiftingBalancer.java
@@ -426,8 +426,8 @@
     @Override
     public void restore(LearnedState<Integer> other, double confidence) {
         if (other.classes().size() == classes.size()) {
-            admittedFraction = Confidence.blend(admittedFraction, other.admittedShare(), confidence);
-            retryBudget = Confidence.blend(retryBudget, Math.min(MAX_RETRY_BUDGET, other.extraAttempts()), confidence);
+            admittedFraction = Confidence.blend(admittedFraction, other.admittedFraction(), confidence);
+            retryBudget = Confidence.blend(retryBudget, Math.min(MAX_RETRY_BUDGET, other.retryBudget()), confidence);
             classes.forEach(
                     statistics -> statistics.restore(other.classes().get(classes.indexOf(statistics)), confidence));
             coldNodeRates.restore(other.maxRateByKind(), confidence);
--- a/src/test/java/ivybank/handover/HandoverSnapshotTest.java
+++ b/src/test/java/ivybank/handover/HandoverSnapshotTest.java
@@ -79,7 +79,8 @@
             ByteBuffer.wrap(changed).putInt(length, (int) checksum.getValue());
             try {
                 HandoverSnapshot read = HandoverSnapshotCodec.read(changed);
-                assertTrue(read.learned().admittedShare() > 0 && read.learned().admittedShare() <= 1);
+                assertTrue(
+                        read.learned().admittedFraction() > 0 && read.learned().admittedFraction() <= 1);
             } catch (HandoverSnapshotCodec.UnreadableSnapshotException e) {
                 assertEquals("its values are invalid", e.getMessage());
             }
--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -101,7 +101,7 @@
         LearnedState<Integer> learned = previous.balancer.learned();
         next.balancer.restore(new LearnedState<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
         assertEquals(3, next.balancer.learned().nodes().size());
-        assertEquals(1, next.balancer.learned().admittedShare(), "state of other classes is ignored");
+        assertEquals(1, next.balancer.learned().admittedFraction(), "state of other classes is ignored");
         sendRequests(next, 1000);
         assertEquals(List.of(), next.violations);
     }
