--- a/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -77,7 +77,7 @@
             out.putDouble(node.startedMs())
                     .putDouble(node.rank())
                     .putDouble(node.share())
-                    .putFloat((float) node.window());
+                    .putFloat((float) node.concurrencyLimit());
             out.putInt(node.inFlight()).put((byte) (node.aside() ? 1 : 0));
         }
         out.putInt(HEADER_BYTES - 4, out.position() - HEADER_BYTES);
--- a/src/main/java/ivybank/handover/LearnedState.java
+++ b/src/main/java/ivybank/handover/LearnedState.java
@@ -36,27 +36,28 @@
      *
      * @param rank its position in the random order whose first members are the subset
      * @param share its share of the load; 0 where it was not selected from
-     * @param window the maximum number of attempts in flight
+     * @param concurrencyLimit the maximum number of attempts in flight
      * @param inFlight the current number of attempts in flight
      * @param aside whether it was set aside
      */
-    public record NodeState(double startedMs, double rank, double share, double window, int inFlight, boolean aside) {
+    public record NodeState(
+            double startedMs, double rank, double share, double concurrencyLimit, int inFlight, boolean aside) {
 
         public NodeState {
             if (!(rank >= 0
                     && rank <= 1
                     && share >= 0
                     && share <= 1
-                    && window >= 0
-                    && window <= MAX_WINDOW
+                    && concurrencyLimit >= 0
+                    && concurrencyLimit <= MAX_CONCURRENCY_LIMIT
                     && inFlight >= 0)) {
                 throw new IllegalArgumentException("invalid state of a node");
             }
         }
     }
 
-    /** The upper bound of a valid window. */
-    public static final double MAX_WINDOW = 1e6;
+    /** The upper bound of a valid concurrency limit. */
+    public static final double MAX_CONCURRENCY_LIMIT = 1e6;
 
     public LearnedState {
         classes = List.copyOf(classes);
@@ -89,7 +90,7 @@
                         start.applyAsDouble(key, node.startedMs),
                         node.rank,
                         node.share,
-                        node.window,
+                        node.concurrencyLimit,
                         node.inFlight,
                         node.aside)));
         return new LearnedState<>(admittedFraction, retryBudget, classes, changed, maxRateByKind);
--- a/src/main/java/ivybank/policy/Host.java
+++ b/src/main/java/ivybank/policy/Host.java
@@ -83,7 +83,7 @@
         rank = learned == null ? rank : learned.rank();
         if (learned != null && learned.share() > 0 && Confidence.isSameIncarnation(learned, listed.startedMs())) {
             share = Confidence.blend(share, learned.share(), confidence);
-            concurrency.reset(Confidence.blend(concurrency.size(), learned.window(), confidence));
+            concurrency.reset(Confidence.blend(concurrency.size(), learned.concurrencyLimit(), confidence));
         }
     }
 
--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -52,8 +52,8 @@
         learned.nodes().forEach((id, node) -> {
             assertEquals(node.share(), restored.nodes().get(id).share(), 1e-9, "upstream " + id);
             assertEquals(
-                    node.window(),
-                    node.share() > 0 ? restored.nodes().get(id).window() : node.window(),
+                    node.concurrencyLimit(),
+                    node.share() > 0 ? restored.nodes().get(id).concurrencyLimit() : node.concurrencyLimit(),
                     1e-9,
                     "upstream " + id);
         });
@@ -84,13 +84,14 @@
         next.listReady(14);
         double fresh = 8 * 14 / 10.0;
         int restarted = previous.balancer.learned().nodes().entrySet().stream()
-                .filter(node -> node.getValue().window() > fresh + 2)
+                .filter(node -> node.getValue().concurrencyLimit() > fresh + 2)
                 .mapToInt(Map.Entry::getKey)
                 .findFirst()
                 .orElseThrow();
         next.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(restarted, Status.READY, next.nowMs));
         next.balancer.restore(previous.balancer.learned(), 1);
-        assertEquals(fresh, next.balancer.learned().nodes().get(restarted).window(), "the limit of a new node");
+        assertEquals(
+                fresh, next.balancer.learned().nodes().get(restarted).concurrencyLimit(), "the limit of a new node");
     }
 
     @Test
@@ -115,10 +116,13 @@
         next.balancer.restore(previous.balancer.learned(), 1);
         double limits = 0;
         for (LearnedState.NodeState node : previous.balancer.learned().nodes().values()) {
-            limits += node.share() > 0 ? Math.max(1, node.window()) : 0;
+            limits += node.share() > 0 ? Math.max(1, node.concurrencyLimit()) : 0;
         }
         Map<Integer, Integer> all = new java.util.HashMap<>();
-        previous.balancer.learned().nodes().forEach((id, node) -> all.put(id, (int) Math.ceil(node.window())));
+        previous.balancer
+                .learned()
+                .nodes()
+                .forEach((id, node) -> all.put(id, (int) Math.ceil(node.concurrencyLimit())));
         next.balancer.setSiblingLoad(all, 0.1);
         for (int i = 0; i < limits; i++) {
             next.request(0);
