--- a/src/main/java/ivybank/daemon/AttemptSender.java
+++ b/src/main/java/ivybank/daemon/AttemptSender.java
@@ -94,7 +94,7 @@
         if (exchange.closed
                 || exchange.isBodyConsumed()
                 || attemptTimeoutMs <= 0
-                || lease.hasLapsed(nowMs)
+                || lease.hasExpired(nowMs)
                 || number >= settings.limits().maxAttempts()) {
             attempt.end(Ending.of(Outcome.NOT_SENT));
             return;
@@ -112,7 +112,7 @@
 
             @Override
             public double maxBudgetMs() {
-                return exchange.minClientLeftMs(clock.nowMs()) + MAX_FORWARDED_BUDGET_EXCESS_MS;
+                return exchange.minClientRemainingMs(clock.nowMs()) + MAX_FORWARDED_BUDGET_EXCESS_MS;
             }
 
             @Override
@@ -136,10 +136,10 @@
         return new Transmission(
                 node.ready,
                 exchange.closed,
-                lease.hasLapsed(nowMs),
+                lease.hasExpired(nowMs),
                 budgetMs,
-                exchange.maxClientLeftMs(nowMs),
-                exchange.minClientLeftMs(nowMs),
+                exchange.maxClientRemainingMs(nowMs),
+                exchange.minClientRemainingMs(nowMs),
                 RepeatRisk.of(
                         settings.classes().get(exchange.request.requestClass()),
                         others,
--- a/src/main/java/ivybank/daemon/Handover.java
+++ b/src/main/java/ivybank/daemon/Handover.java
@@ -87,7 +87,7 @@
             log.line("taking over what another process has learned of "
                     + snapshot.learned().nodes().size() + " nodes, " + Math.round(nowMs - snapshot.writtenMs())
                     + " ms ago, with a confidence of " + Math.round(100 * snapshot.confidence(nowMs)) + "%");
-            loop.execute(() -> dispatcher.recall(snapshot.learned(), snapshot.confidence(nowMs)));
+            loop.execute(() -> dispatcher.restore(snapshot.learned(), snapshot.confidence(nowMs)));
         });
     }
 
@@ -127,7 +127,7 @@
         int usedDescriptors = siblingPresent ? EXTRA_DESCRIPTORS : 0;
         for (HandoverSnapshot snapshot : siblingPresent ? readOthers() : List.<HandoverSnapshot>of()) {
             if (snapshot.isFresh(nowMs)) {
-                unanswered += snapshot.inHand();
+                unanswered += snapshot.unansweredRequests();
                 usedDescriptors += snapshot.descriptors();
                 snapshot.learned().nodes().forEach((host, node) -> inFlight.merge(host, node.inFlight(), Integer::sum));
             }
--- a/src/main/java/ivybank/daemon/RequestDispatcher.java
+++ b/src/main/java/ivybank/daemon/RequestDispatcher.java
@@ -5,9 +5,9 @@
 import ivybank.common.EventLoopStallDetector;
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
-import ivybank.discovery.HostUpdate;
 import ivybank.discovery.ListLease;
 import ivybank.discovery.Node;
+import ivybank.discovery.NodeListUpdate;
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.RequestHandler;
@@ -97,7 +97,7 @@
     }
 
     /** Starts the module with the nodes that were known last. */
-    void start(HostUpdate known) {
+    void start(NodeListUpdate known) {
         events.deliver(() -> balancer.start(clock.nowMs()));
         if (!known.entries().isEmpty()) {
             upstreams(ListKind.CACHED, known);
@@ -128,11 +128,11 @@
     }
 
     /** Applies an update of the list of nodes. */
-    void listUpdated(HostUpdate update) {
+    void listUpdated(NodeListUpdate update) {
         upstreams(update.whole() ? ListKind.FULL : ListKind.DELTA, update);
     }
 
-    private void upstreams(ListKind kind, HostUpdate update) {
+    private void upstreams(ListKind kind, NodeListUpdate update) {
         // The directory comes first: it stops connections that are being opened before the module is notified.
         List<Upstream> entries = directory.apply(update, clock.nowMs());
         listed = true;
@@ -144,7 +144,7 @@
      * Takes over what another process of this sidecar has learned, weighted by the confidence in it: for the nodes that
      * are listed now, and for those in the first full list of discovery.
      */
-    void recall(LearnedState<String> learned, double confidence) {
+    void restore(LearnedState<String> learned, double confidence) {
         inheritedState.take(learned, confidence);
     }
 
@@ -179,7 +179,7 @@
 
     /** Applies the nodes that operators have put into maintenance, by id, with the time of each. */
     void applyMaintenance(Map<String, Double> nodes) {
-        List<Upstream> entries = directory.takeOut(nodes, clock.nowMs());
+        List<Upstream> entries = directory.setOutOfService(nodes, clock.nowMs());
         if (!entries.isEmpty()) {
             events.deliver(() -> balancer.upstreams(clock.nowMs(), ListKind.DELTA, entries));
         }
@@ -249,7 +249,7 @@
             if (exchange.streamingAttempt < 0) {
                 startBackstop(exchange, budgetMs);
             }
-            events.deliver(() -> balancer.arrived(
+            events.deliver(() -> balancer.bodyCompleted(
                     clock.nowMs(), id, Math.max(0, budgetMs - RequestDeadline.reserveMs(exchange.request))));
         }
     }
@@ -265,12 +265,12 @@
     }
 
     @Override
-    public void cancel(int id) {
+    public void clientDisconnected(int id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.closed) {
             counters.abandoned++;
             close(exchange);
-            events.deliver(() -> balancer.clientLeft(clock.nowMs(), id));
+            events.deliver(() -> balancer.clientDisconnected(clock.nowMs(), id));
             exchange.abandonUnsent();
         }
     }
@@ -285,7 +285,7 @@
             log.line("request " + exchange.id + " of class " + exchange.request.requestClass()
                     + " was still open at its deadline after " + exchange.attempts.size() + " attempts: failed");
             answer(exchange, Answer.status(GATEWAY_TIMEOUT));
-            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            events.deliver(() -> balancer.clientDisconnected(clock.nowMs(), exchange.id));
         }
     }
 
@@ -300,7 +300,7 @@
         for (Exchange exchange : open) {
             counters.failed++;
             answer(exchange, Answer.status(BAD_GATEWAY));
-            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            events.deliver(() -> balancer.clientDisconnected(clock.nowMs(), exchange.id));
         }
     }
 
@@ -410,7 +410,7 @@
         if (!exchange.closed) {
             counters.refused++;
             answer(exchange, Answer.refused(settings.limits().maxRetryAfterMs()));
-            events.deliver(() -> balancer.clientLeft(clock.nowMs(), exchange.id));
+            events.deliver(() -> balancer.clientDisconnected(clock.nowMs(), exchange.id));
         }
     }
 
--- a/src/main/java/ivybank/discovery/Discovery.java
+++ b/src/main/java/ivybank/discovery/Discovery.java
@@ -30,12 +30,13 @@
  * has answered. After each call, {@code addressSupplier} is asked for the current address, which finds a move that
  * nobody has announced.
  *
- * <p>This class owns the chain of calls. There is always a call under way or a pause before the next one, each with a
- * time by which it must have ended, and a {@link ivybank.supervision.Watchdog} starts the next one where it has not.
+ * <p>This class is the task that makes the calls, one after another. There is always a call under way or a pause
+ * before the next one, each with a time by which it must have ended, and a {@link ivybank.supervision.Watchdog} starts
+ * the next one where it has not.
  */
 public final class Discovery implements SupervisedTask, DiscoveryCall.Owner {
 
-    /** The state of the chain of calls. */
+    /** The state of the task. */
     private enum State {
         NOT_STARTED,
         CONNECTING,
@@ -54,7 +55,7 @@
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final Consumer<HostUpdate> listener;
+    private final Consumer<NodeListUpdate> listener;
     private final Timing timing;
     private final DoubleSupplier random;
     private final Clock clock;
@@ -92,8 +93,8 @@
     private Runnable onFirstCallCompleted = () -> {};
     private Tally tally = Tally.NONE;
     private ListLease lease = ListLease.unlimited();
-    /** Whether the log states that the list has lapsed. */
-    private boolean lapseLogged;
+    /** Whether the log states that the lease of the list has expired. */
+    private boolean expiryLogged;
 
     /**
      * Creates a follower of discovery.
@@ -108,7 +109,7 @@
             Supplier<SocketAddress> addressSupplier,
             long from,
             Timing timing,
-            Consumer<HostUpdate> listener,
+            Consumer<NodeListUpdate> listener,
             Clock clock,
             Log log) {
         this(
@@ -133,7 +134,7 @@
             long from,
             Timing timing,
             DoubleSupplier random,
-            Consumer<HostUpdate> listener,
+            Consumer<NodeListUpdate> listener,
             Clock clock,
             Log log) {
         this.knownVersion = from;
@@ -230,20 +231,20 @@
         if (current != null) {
             current.verify();
         }
-        logLapse(lease.hasLapsed(clock.nowMs()));
+        logExpiry(lease.hasExpired(clock.nowMs()));
     }
 
-    private void logLapse(boolean lapsed) {
-        if (lapsed != lapseLogged) {
-            lapseLogged = lapsed;
+    private void logExpiry(boolean expired) {
+        if (expired != expiryLogged) {
+            expiryLogged = expired;
             log.line(
-                    lapsed
+                    expired
                             ? "discovery: this machine may have missed a change; no requests are sent by the list until discovery answers"
                             : "discovery: the list is valid again");
         }
     }
 
-    /** Recovers from a lost step of the chain: abandons the current call and starts the next one. */
+    /** Recovers from a lost step of the task: abandons the current call and starts the next one. */
     @Override
     public void restart() {
         DiscoveryCall lost = current;
@@ -487,7 +488,7 @@
     }
 
     @Override
-    public void updateReceived(DiscoveryCall call, HostUpdate update, long version) throws IOException {
+    public void updateReceived(DiscoveryCall call, NodeListUpdate update, long version) throws IOException {
         if (call == current && unconfirmed) {
             unconfirmed = false;
             if (!update.whole() && update.seq() < version) {
@@ -506,7 +507,7 @@
     }
 
     @Override
-    public void applyUpdate(DiscoveryCall call, HostUpdate update, boolean outdated) {
+    public void applyUpdate(DiscoveryCall call, NodeListUpdate update, boolean outdated) {
         boolean moved = call.firstSinceMove;
         call.firstSinceMove = false;
         tally.listUpdated(update.seq());
--- a/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
+++ b/src/main/java/ivybank/handover/HandoverSnapshotCodec.java
@@ -59,12 +59,14 @@
                 + 20 * learned.classes().size()
                 + 12 * learned.maxRateByKind().size());
         out.putInt(MAGIC).putShort(VERSION).putInt(0);
-        out.putDouble(snapshot.writtenMs()).putInt(snapshot.inHand()).putInt(snapshot.descriptors());
-        out.putDouble(learned.admittedShare()).putDouble(learned.extraAttempts());
+        out.putDouble(snapshot.writtenMs())
+                .putInt(snapshot.unansweredRequests())
+                .putInt(snapshot.descriptors());
+        out.putDouble(learned.admittedFraction()).putDouble(learned.retryBudget());
         out.putInt(learned.classes().size());
         learned.classes()
-                .forEach(state -> out.putDouble(state.typicalMs())
-                        .putDouble(state.quietMs())
+                .forEach(state -> out.putDouble(state.medianMs())
+                        .putDouble(state.baselineMs())
                         .putInt(state.answers()));
         out.putInt(learned.maxRateByKind().size());
         learned.maxRateByKind().forEach((kind, perMs) -> out.putInt(kind).putDouble(perMs));
@@ -75,7 +77,7 @@
             out.putDouble(node.startedMs())
                     .putDouble(node.rank())
                     .putDouble(node.share())
-                    .putFloat((float) node.window());
+                    .putFloat((float) node.concurrencyLimit());
             out.putInt(node.inFlight()).put((byte) (node.aside() ? 1 : 0));
         }
         out.putInt(HEADER_BYTES - 4, out.position() - HEADER_BYTES);
@@ -112,10 +114,10 @@
 
     private static HandoverSnapshot readBody(ByteBuffer in) {
         double writtenMs = in.getDouble();
-        int inHand = in.getInt();
+        int unansweredRequests = in.getInt();
         int descriptors = in.getInt();
-        double admittedShare = in.getDouble();
-        double extraAttempts = in.getDouble();
+        double admittedFraction = in.getDouble();
+        double retryBudget = in.getDouble();
         List<LearnedState.ClassState> classes = new ArrayList<>();
         for (int left = in.getInt(); left > 0; left--) {
             classes.add(new LearnedState.ClassState(in.getDouble(), in.getDouble(), in.getInt()));
@@ -135,9 +137,9 @@
         }
         return new HandoverSnapshot(
                 writtenMs,
-                inHand,
+                unansweredRequests,
                 descriptors,
-                new LearnedState<>(admittedShare, extraAttempts, classes, nodes, maxRateByKind));
+                new LearnedState<>(admittedFraction, retryBudget, classes, nodes, maxRateByKind));
     }
 
     private static long checksum(byte[] bytes, int length) {
--- a/src/main/java/ivybank/handover/LearnedState.java
+++ b/src/main/java/ivybank/handover/LearnedState.java
@@ -12,63 +12,64 @@
  *
  * @param <K> the type of a node's key: the number in the decision module within a process, the id from discovery between
  *     processes
- * @param admittedShare the share of the offered requests that is admitted
- * @param extraAttempts the number of additional attempts that may still be made
+ * @param admittedFraction the fraction of the offered requests that is admitted
+ * @param retryBudget the number of retries and hedges that may still be sent
  * @param classes the state of the request classes, in the order of the settings
  * @param nodes the state of the nodes by key
  * @param maxRateByKind the highest rate that a warm node was observed to carry, by kind
  */
 public record LearnedState<K>(
-        double admittedShare,
-        double extraAttempts,
+        double admittedFraction,
+        double retryBudget,
         List<ClassState> classes,
         Map<K, NodeState> nodes,
         Map<Integer, Double> maxRateByKind) {
 
     /**
-     * The state of a request class: the running median of its latencies, that median under light load (0: unknown), and the number
-     * of answers that it is based on.
+     * The state of a request class: the running median of its latencies, the baseline, which is that median while the nodes are
+     * quiet (0: unknown), and the number of answers that it is based on.
      */
-    public record ClassState(double typicalMs, double quietMs, int answers) {}
+    public record ClassState(double medianMs, double baselineMs, int answers) {}
 
     /**
      * The state of one node since its start at {@code startedMs} (0: long ago).
      *
      * @param rank its random number from 0 to 1; the nodes with the lowest ranks form the subset
      * @param share its share of the load; 0 where it was not selected from
-     * @param window the maximum number of attempts in flight
+     * @param concurrencyLimit the maximum number of attempts in flight
      * @param inFlight the current number of attempts in flight
      * @param aside whether it was set aside
      */
-    public record NodeState(double startedMs, double rank, double share, double window, int inFlight, boolean aside) {
+    public record NodeState(
+            double startedMs, double rank, double share, double concurrencyLimit, int inFlight, boolean aside) {
 
         public NodeState {
             if (!(rank >= 0
                     && rank <= 1
                     && share >= 0
                     && share <= 1
-                    && window >= 0
-                    && window <= MAX_WINDOW
+                    && concurrencyLimit >= 0
+                    && concurrencyLimit <= MAX_CONCURRENCY_LIMIT
                     && inFlight >= 0)) {
                 throw new IllegalArgumentException("invalid state of a node");
             }
         }
     }
 
-    /** The upper bound of a valid window. */
-    public static final double MAX_WINDOW = 1e6;
+    /** The upper bound of a valid concurrency limit. */
+    public static final double MAX_CONCURRENCY_LIMIT = 1e6;
 
     public LearnedState {
         classes = List.copyOf(classes);
         nodes = Map.copyOf(nodes);
         maxRateByKind = Map.copyOf(maxRateByKind);
-        if (!(admittedShare > 0 && admittedShare <= 1) || !(extraAttempts >= 0)) {
+        if (!(admittedFraction > 0 && admittedFraction <= 1) || !(retryBudget >= 0)) {
             throw new IllegalArgumentException("invalid state of a sidecar");
         }
         for (ClassState state : classes) {
-            if (!(state.typicalMs > 0
-                    && state.typicalMs < Double.MAX_VALUE
-                    && state.quietMs >= 0
+            if (!(state.medianMs > 0
+                    && state.medianMs < Double.MAX_VALUE
+                    && state.baselineMs >= 0
                     && state.answers >= 0)) {
                 throw new IllegalArgumentException("invalid state of a request class");
             }
@@ -77,7 +78,7 @@
 
     /** Returns this state without the request classes and the rates. */
     public LearnedState<K> nodesOnly() {
-        return new LearnedState<>(admittedShare, extraAttempts, List.of(), nodes, Map.of());
+        return new LearnedState<>(admittedFraction, retryBudget, List.of(), nodes, Map.of());
     }
 
     /** Returns this state with other starts of the nodes, computed from their keys and the current starts. */
@@ -89,10 +90,10 @@
                         start.applyAsDouble(key, node.startedMs),
                         node.rank,
                         node.share,
-                        node.window,
+                        node.concurrencyLimit,
                         node.inFlight,
                         node.aside)));
-        return new LearnedState<>(admittedShare, extraAttempts, classes, changed, maxRateByKind);
+        return new LearnedState<>(admittedFraction, retryBudget, classes, changed, maxRateByKind);
     }
 
     /** Returns this state with other keys of the nodes; nodes without a new key are left out. */
@@ -104,6 +105,6 @@
                 renamed.put(renamedKey, node);
             }
         });
-        return new LearnedState<>(admittedShare, extraAttempts, classes, renamed, maxRateByKind);
+        return new LearnedState<>(admittedFraction, retryBudget, classes, renamed, maxRateByKind);
     }
 }
--- a/src/main/java/ivybank/policy/Balancer.java
+++ b/src/main/java/ivybank/policy/Balancer.java
@@ -24,7 +24,7 @@
     void request(double nowMs, Request request);
 
     /** Called when the last byte of an arriving request was received; its timeout starts now. */
-    void arrived(double nowMs, int request, double timeoutMs);
+    void bodyCompleted(double nowMs, int request, double timeoutMs);
 
     /** Called when the answer of a streamed request has begun; this attempt now serves the client until it ends. */
     void streamStarted(double nowMs, int request, int attempt, double elapsedMs);
@@ -32,8 +32,8 @@
     /** Called when an attempt has ended. Each attempt that was sent ends exactly once. */
     void attemptEnded(double nowMs, AttemptEnd end);
 
-    /** Called when the client has disconnected; the request needs no answer any more. */
-    void clientLeft(double nowMs, int request);
+    /** Called when the client has disconnected or was answered by the sidecar itself; the request needs no answer any more. */
+    void clientDisconnected(double nowMs, int request);
 
     /** Called when a timer that was set by {@link Actions#timer} is due. */
     void timer(double nowMs, int token);
--- a/src/test/java/ivybank/daemon/RequestDispatcherTest.java
+++ b/src/test/java/ivybank/daemon/RequestDispatcherTest.java
@@ -15,7 +15,8 @@
 import ivybank.common.DescriptorBudget;
 import ivybank.common.Log;
 import ivybank.discovery.Directory;
-import ivybank.discovery.HostUpdate;
+import ivybank.discovery.NodeListUpdate;
+import ivybank.discovery.NodeListUpdate.Entry;
 import ivybank.exchange.Answer;
 import ivybank.exchange.ClientRequest;
 import ivybank.exchange.SendRecord;
@@ -94,8 +95,8 @@
                     directory,
                     pool,
                     log);
-            dispatcher.start(new HostUpdate(
-                    1, true, List.of(new HostUpdate.Entry("s-1", node.address(), Status.READY, 0, "a", "k", 0, 1))));
+            dispatcher.start(new NodeListUpdate(
+                    1, true, List.of(new Entry("s-1", node.address(), Status.READY, 0, "a", "k", 0, 1))));
             return null;
         });
     }
@@ -159,7 +160,7 @@
         });
         Runnable store = record.storeRequest.get(5, TimeUnit.SECONDS);
         onLoop(() -> {
-            dispatcher.cancel(id);
+            dispatcher.clientDisconnected(id);
             return null;
         });
         assertEquals(Outcome.NOT_SENT, ends.poll(5, TimeUnit.SECONDS).outcome());
--- a/src/test/java/ivybank/policy/HandoverTest.java
+++ b/src/test/java/ivybank/policy/HandoverTest.java
@@ -47,13 +47,13 @@
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.nowMs = previous.nowMs;
         next.listReady(14);
-        next.balancer.recall(learned, 1);
+        next.balancer.restore(learned, 1);
         LearnedState<Integer> restored = next.balancer.learned();
         learned.nodes().forEach((id, node) -> {
             assertEquals(node.share(), restored.nodes().get(id).share(), 1e-9, "upstream " + id);
             assertEquals(
-                    node.window(),
-                    node.share() > 0 ? restored.nodes().get(id).window() : node.window(),
+                    node.concurrencyLimit(),
+                    node.share() > 0 ? restored.nodes().get(id).concurrencyLimit() : node.concurrencyLimit(),
                     1e-9,
                     "upstream " + id);
         });
@@ -66,7 +66,7 @@
         RuleCheckingSidecar previous = previous();
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.listReady(14);
-        next.balancer.recall(previous.balancer.learned(), 0.5);
+        next.balancer.restore(previous.balancer.learned(), 0.5);
         double sum = 0;
         for (int id = 1; id <= 14; id++) {
             sum += share(next, id);
@@ -84,13 +84,14 @@
         next.listReady(14);
         double fresh = 8 * 14 / 10.0;
         int restarted = previous.balancer.learned().nodes().entrySet().stream()
-                .filter(node -> node.getValue().window() > fresh + 2)
+                .filter(node -> node.getValue().concurrencyLimit() > fresh + 2)
                 .mapToInt(Map.Entry::getKey)
                 .findFirst()
                 .orElseThrow();
         next.updateList(ListKind.DELTA, RuleCheckingSidecar.upstream(restarted, Status.READY, next.nowMs));
-        next.balancer.recall(previous.balancer.learned(), 1);
-        assertEquals(fresh, next.balancer.learned().nodes().get(restarted).window(), "the limit of a new node");
+        next.balancer.restore(previous.balancer.learned(), 1);
+        assertEquals(
+                fresh, next.balancer.learned().nodes().get(restarted).concurrencyLimit(), "the limit of a new node");
     }
 
     @Test
@@ -99,9 +100,9 @@
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.listReady(3);
         LearnedState<Integer> learned = previous.balancer.learned();
-        next.balancer.recall(new LearnedState<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
+        next.balancer.restore(new LearnedState<>(0.05, 0, List.of(), learned.nodes(), Map.of()), 1);
         assertEquals(3, next.balancer.learned().nodes().size());
-        assertEquals(1, next.balancer.learned().admittedShare(), "state of other classes is ignored");
+        assertEquals(1, next.balancer.learned().admittedFraction(), "state of other classes is ignored");
         sendRequests(next, 1000);
         assertEquals(List.of(), next.violations);
     }
@@ -112,13 +113,16 @@
         RuleCheckingSidecar next = new RuleCheckingSidecar(Samples.safe(), 77);
         next.nowMs = previous.nowMs;
         next.listReady(14);
-        next.balancer.recall(previous.balancer.learned(), 1);
+        next.balancer.restore(previous.balancer.learned(), 1);
         double limits = 0;
         for (LearnedState.NodeState node : previous.balancer.learned().nodes().values()) {
-            limits += node.share() > 0 ? Math.max(1, node.window()) : 0;
+            limits += node.share() > 0 ? Math.max(1, node.concurrencyLimit()) : 0;
         }
         Map<Integer, Integer> all = new java.util.HashMap<>();
-        previous.balancer.learned().nodes().forEach((id, node) -> all.put(id, (int) Math.ceil(node.window())));
+        previous.balancer
+                .learned()
+                .nodes()
+                .forEach((id, node) -> all.put(id, (int) Math.ceil(node.concurrencyLimit())));
         next.balancer.setSiblingLoad(all, 0.1);
         for (int i = 0; i < limits; i++) {
             next.request(0);
--- a/src/test/java/ivybank/policy/NoOpBalancer.java
+++ b/src/test/java/ivybank/policy/NoOpBalancer.java
@@ -15,7 +15,7 @@
     public void request(double nowMs, Request request) {}
 
     @Override
-    public void arrived(double nowMs, int request, double timeoutMs) {}
+    public void bodyCompleted(double nowMs, int request, double timeoutMs) {}
 
     @Override
     public void streamStarted(double nowMs, int request, int attempt, double elapsedMs) {}
@@ -24,7 +24,7 @@
     public void attemptEnded(double nowMs, AttemptEnd end) {}
 
     @Override
-    public void clientLeft(double nowMs, int request) {}
+    public void clientDisconnected(double nowMs, int request) {}
 
     @Override
     public void timer(double nowMs, int token) {}
